--- a/src/agenthandover.cpp
+++ b/src/agenthandover.cpp
@@ -96,7 +96,7 @@
     if (m_stage == Stage::Draining && isQuiet && m_handOverEnd == NeverTime)
         m_handOverEnd = now + HandOverLimit;
     const bool isTooLate = m_handOverEnd <= now;
-    if (m_stage == Stage::Draining && isQuiet && (m_shards.ownsNothing() || isTooLate)) {
+    if (m_stage == Stage::Draining && isQuiet && (m_shards.hasNothingToTransfer() || isTooLate)) {
         m_stage = Stage::HandingOver;
         handOver(now, out);
     } else if (m_stage == Stage::HandingOver && (m_unadopted.empty() || isTooLate)) {
--- a/src/agentnode.cpp
+++ b/src/agentnode.cpp
@@ -30,7 +30,7 @@
 void AgentNode::Impl::onEnvelope(const Envelope &envelope, TimePoint now, Outbox &out)
 {
     m_shards.setLogContact(m_logContact, now);
-    for (const LoadDigest &load : envelope.loads)
+    for (const LoadReport &load : envelope.loads)
         m_jobs.onLoad(load, now);
     for (const Message &message : envelope.messages)
         dispatch(envelope.from, message, now, out);
@@ -78,10 +78,10 @@
 void AgentNode::Impl::settle(Outbox &inner, TimePoint now, Outbox &out)
 {
     while (true) {
-        adoptArrivedTables(now);
-        m_jobs.onKnowledgeChange(now, inner);
+        importReceivedShards(now);
+        m_jobs.decideWaitingJobs(now, inner);
         m_jobs.onLoad(loads().front(), now);
-        m_jobs.placeQueued(now, inner);
+        m_jobs.placeQueuedTasks(now, inner);
         stepShutdown(now, inner);
         if (inner.isEmpty())
             return;
@@ -103,7 +103,7 @@
          m_stage == Stage::Draining || m_stage == Stage::HandingOver ? m_handOverEnd : NeverTime});
 }
 
-bool AgentNode::Impl::needsLog(TimePoint now) const
+bool AgentNode::Impl::shouldReadLog(TimePoint now) const
 {
     if (m_startedAt == NeverTime)
         return false;
@@ -113,7 +113,7 @@
     return now >= *m_lastFeed + FeedPatience + jitter;
 }
 
-std::vector<LoadDigest> AgentNode::Impl::loads() const
+std::vector<LoadReport> AgentNode::Impl::loads() const
 {
     return {m_executor.load()};
 }
@@ -191,16 +191,16 @@
     m_executor.onLedgerChange(changes, now, out);
     m_shards.onLedgerChange(changes, now, out);
     m_jobs.onLedgerChange(changes, now, out);
-    adoptArrivedTables(now);
+    importReceivedShards(now);
     const MemberState *self = m_ledger.member(m_self);
     if (m_stage == Stage::Leaving && (self == nullptr || self->hasLeft))
         m_stage = Stage::Left;
 }
 
-void AgentNode::Impl::adoptArrivedTables(TimePoint now)
+void AgentNode::Impl::importReceivedShards(TimePoint now)
 {
-    for (const ArrivedTable &table : m_shards.takeArrivedTables())
-        m_jobs.adopt(table, now);
+    for (const ReceivedShard &table : m_shards.takeReceivedShards())
+        m_jobs.importShard(table, now);
 }
 
 void AgentNode::Impl::appendRegistration(Outbox &out)
@@ -313,9 +313,9 @@
     return m_impl->isShutdownComplete();
 }
 
-bool AgentNode::needsLog(TimePoint now) const
+bool AgentNode::shouldReadLog(TimePoint now) const
 {
-    return m_impl->needsLog(now);
+    return m_impl->shouldReadLog(now);
 }
 
 const Ledger &AgentNode::ledger() const
@@ -323,7 +323,7 @@
     return m_impl->ledger();
 }
 
-std::vector<LoadDigest> AgentNode::loads(TimePoint) const
+std::vector<LoadReport> AgentNode::loads(TimePoint) const
 {
     return m_impl->loads();
 }
--- a/src/agentnode.h
+++ b/src/agentnode.h
@@ -50,9 +50,9 @@
     TimePoint nextTimer() const;
     bool isActive() const; // the ledger contains its own registration
     bool isShutdownComplete() const;
-    bool needsLog(TimePoint now) const; // no feed for 5 s
+    bool shouldReadLog(TimePoint now) const; // no feed for 5 s
     const Ledger &ledger() const;
-    std::vector<LoadDigest> loads(TimePoint now) const; // to ride on outgoing envelopes
+    std::vector<LoadReport> loads(TimePoint now) const; // to ride on outgoing envelopes
 
 private:
     class Impl;
--- a/src/agentnodeimpl.h
+++ b/src/agentnodeimpl.h
@@ -43,8 +43,8 @@
 
     TimePoint nextTimer() const;
     bool isActive() const { return m_ledger.member(m_self) != nullptr; }
-    bool needsLog(TimePoint now) const;
-    std::vector<LoadDigest> loads() const;
+    bool shouldReadLog(TimePoint now) const;
+    std::vector<LoadReport> loads() const;
 
     TaskExecutor &executor() { return m_executor; }
     JobHome &jobs() { return m_jobs; }
@@ -67,7 +67,7 @@
     void applyRecords(std::span<const LogRecord> records, LedgerChanges &changes);
     bool applySnapshot(const SnapshotRecord &snapshot, LedgerChanges &changes);
     void onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out);
-    void adoptArrivedTables(TimePoint now);
+    void importReceivedShards(TimePoint now);
     void answerRaise(Incarnation from, const Raise &raise, TimePoint now, Outbox &out) const;
     void onAdoptAck(Incarnation from, const AdoptAck &ack, TimePoint now, Outbox &out);
     void onAdoptWitness(Incarnation from, const AdoptWitness &message, TimePoint now, Outbox &out);
--- a/src/agentprocess.cpp
+++ b/src/agentprocess.cpp
@@ -81,7 +81,7 @@
     // Agents are fed by entries; they read the log only while they have no feed.
     void checkLog()
     {
-        m_log.setReading(m_node->needsLog(m_parts.loop.now()));
+        m_log.setReading(m_node->shouldReadLog(m_parts.loop.now()));
         m_logCheck.startIn(LogCheckInterval);
     }
 
@@ -125,7 +125,7 @@
         const Ledger &ledger = m_node->ledger();
         m_parts.metrics.set("cactuscove_shards_owned", {},
                             static_cast<double>(ledger.shardsOf(m_parts.self).size()));
-        for (const LoadDigest &it : m_node->loads(m_parts.loop.now())) {
+        for (const LoadReport &it : m_node->loads(m_parts.loop.now())) {
             if (it.agent != m_parts.self)
                 continue;
             m_parts.metrics.set("cactuscove_upstream_slots", {}, it.slots);
--- a/src/decisionloop.h
+++ b/src/decisionloop.h
@@ -25,7 +25,7 @@
         : m_loop(loop)
         , m_decisions(decisions)
         , m_performer(performer)
-        , m_timer(loop, [this] { settle(); })
+        , m_timer(loop, [this] { processPending(); })
     {}
 
     // `input` takes the decisions, the time and an outbox.
@@ -36,16 +36,16 @@
         input(m_decisions, bootNow(), out);
         performAll(out);
         if (!std::exchange(m_isSettleDue, true))
-            m_loop.post([this] { settle(); });
+            m_loop.post([this] { processPending(); });
     }
 
 private:
-    void settle()
+    void processPending()
     {
         m_isSettleDue = false;
         Outbox out;
         const TimePoint now = bootNow();
-        m_decisions.settle(now, out);
+        m_decisions.processPending(now, out);
         performAll(out);
         const TimePoint next = m_decisions.nextTimer();
         if (next == NeverTime)
--- a/src/dispatchagent.cpp
+++ b/src/dispatchagent.cpp
@@ -71,19 +71,19 @@
         std::unique_ptr<FramedLink> link; // none while it is not dialled
         TimePoint dialledAt{};
         TimePoint heardAt{};
-        TimePoint leavingSince = NeverTime;    // the entry was told that the worker is gone
-        std::optional<PeerHello> entry;        // once it has introduced itself
-        std::vector<std::string> clearWorkers; // as sent
-        std::uint64_t loadVersion = 0;         // sent
+        TimePoint leavingSince = NeverTime;         // the entry was told that the worker is gone
+        std::optional<PeerHello> entry;             // once it has introduced itself
+        std::vector<std::string> orphanFreeWorkers; // as sent
+        std::uint64_t loadVersion = 0;              // sent
     };
 
     TaskRunnerSettings runnerSettings() const
     {
         TaskRunnerSettings settings;
         const Duration spare = m_settings.resubmitPause - m_settings.stopTime - ResubmitMargin;
-        settings.entrySilence = std::min<Duration>(settings.entrySilence, spare / 2);
+        settings.entryTimeout = std::min<Duration>(settings.entryTimeout, spare / 2);
         settings.leaseTime = std::min(
-            {settings.leaseTime, m_settings.leaseTime, Duration(spare - settings.entrySilence)});
+            {settings.leaseTime, m_settings.leaseTime, Duration(spare - settings.entryTimeout)});
         return settings;
     }
 
@@ -125,9 +125,9 @@
         callWorker("stop", effect, platform::parseStopReply, &TaskRunner::onStopReply);
     }
 
-    void perform(const HoldRuns &effect)
+    void perform(const PollRuns &effect)
     {
-        callWorker("hold", effect, platform::parseHoldReply, &TaskRunner::onHoldReply);
+        callWorker("hold", effect, platform::parsePollReply, &TaskRunner::onPollReply);
     }
 
     void perform(SendToEntry &effect)
@@ -157,7 +157,7 @@
         const platform::WorkerNews &it = valueOf(news);
         m_decisions.step([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
             if (it.info)
-                runner.onWorker(*it.info, now, out);
+                runner.onWorkerInfo(*it.info, now, out);
             else
                 runner.onWorkerLeft(it.workerId, now, out);
         });
@@ -187,7 +187,7 @@
     void onEntryStarted(const std::string &address)
     {
         addEntryAddress(address, "entry");
-        m_selection.heardOf(address, bootNow());
+        m_selection.reportedAlive(address, bootNow());
         const auto it = m_dials.find(address);
         if (it != m_dials.end() && it->second.link && !it->second.entry
             && bootNow() - it->second.dialledAt > FreshDial)
@@ -316,14 +316,14 @@
     void sendInventory(Dial &it)
     {
         TaskInventory inventory = m_runner.inventoryOf(it.entry->instance);
-        it.clearWorkers = inventory.clearWorkers;
+        it.orphanFreeWorkers = inventory.orphanFreeWorkers;
         it.link->send(std::move(inventory));
     }
 
     void sendLoadsTo(Dial &it, const std::vector<WorkerLoad> &loads)
     {
         for (WorkerLoad load : loads) {
-            load.assignments = m_runner.assignmentsOf(it.entry->instance);
+            load.assignments = m_runner.lastAssignmentNumberOf(it.entry->instance);
             it.link->send(std::move(load));
         }
         it.loadVersion = m_runner.loadVersion();
@@ -334,18 +334,18 @@
         m_isLoadDue = false;
         m_loadVersion = m_runner.loadVersion();
         m_loadsSentAt = bootNow();
-        const std::vector<std::string> clearWorkers = m_runner.clearWorkers();
+        const std::vector<std::string> orphanFreeWorkers = m_runner.orphanFreeWorkers();
         const std::vector<WorkerLoad> loads = m_runner.loads(m_loadsSentAt);
         for (auto &[address, it] : m_dials) {
             if (!it.entry || isLeaving(it) || it.loadVersion == m_loadVersion)
                 continue;
-            if (it.clearWorkers != clearWorkers)
+            if (it.orphanFreeWorkers != orphanFreeWorkers)
                 sendInventory(it);
             sendLoadsTo(it, loads);
         }
     }
 
-    PeerBeat nextBeat() const
+    PeerHeartbeat nextBeat() const
     {
         const auto heard = std::count_if(m_dials.begin(), m_dials.end(), [](const auto &dial) {
             return dial.second.entry && !isLeaving(dial.second);
--- a/src/dispatchcodec.cpp
+++ b/src/dispatchcodec.cpp
@@ -33,7 +33,7 @@
 void fields(A &a, WorkerInfo &it)
 {
     a(it.id, it.upstream, it.address, it.dataCentre, it.capacity, it.labels, it.isDraining,
-      it.bornAtMs, it.sequence);
+      it.startedAtUnixMs, it.sequence);
 }
 
 template <typename A>
@@ -43,7 +43,7 @@
 }
 
 template <typename A>
-void fields(A &a, PeerBeat &it)
+void fields(A &a, PeerHeartbeat &it)
 {
     a(it.sentAt, it.entries);
 }
@@ -70,7 +70,7 @@
 void fields(A &a, AssignTask &it)
 {
     a(it.task, it.attempt, it.workerId, it.queue, it.payload, it.needs, it.priority, it.expectedRun,
-      it.startBy, it.endBy, it.finishBy, it.orderBy, it.number);
+      it.startDeadline, it.endDeadline, it.objectiveTime, it.schedulingKey, it.number);
 }
 
 template <typename A>
@@ -86,7 +86,7 @@
 }
 
 template <typename A>
-void fields(A &a, QueuedRoom &it)
+void fields(A &a, QueuedDemand &it)
 {
     a(it.priority, it.needs);
 }
@@ -94,7 +94,7 @@
 template <typename A>
 void fields(A &a, WorkerLoad &it)
 {
-    a(it.workerId, it.free, it.queued, it.freeingRate, it.isUsable, it.slowness, it.failureShare,
+    a(it.workerId, it.free, it.queued, it.coreReleaseRate, it.isUsable, it.slowness, it.failureRate,
       it.assignments);
 }
 
@@ -125,7 +125,7 @@
 template <typename A>
 void fields(A &a, TaskInventory &it)
 {
-    a(it.started, it.waiting, it.ended, it.clearWorkers);
+    a(it.started, it.waiting, it.ended, it.orphanFreeWorkers);
 }
 
 template <typename T>
--- a/src/dispatchentry.cpp
+++ b/src/dispatchentry.cpp
@@ -44,7 +44,7 @@
     explicit DispatchEntry(LoadedSettings loaded)
         : DispatchProcess(Role::Entry, std::move(loaded.settings), std::move(loaded.path))
         , m_linkListen(std::move(loaded.linkListen))
-        , m_dispatcher({m_self.value, proofTime(m_settings)}, bootNow())
+        , m_dispatcher({m_self.value, lostAgentTimeout(m_settings)}, bootNow())
         , m_decisions(m_loop, m_dispatcher, *this)
         , m_beatTimer(m_loop, [this] { beat(); })
         , m_newsTimer(m_loop, [this] { sendNews(); })
@@ -97,7 +97,7 @@
 
     using LinkId = std::uint64_t;
 
-    static Duration proofTime(const platform::PlatformSettings &settings)
+    static Duration lostAgentTimeout(const platform::PlatformSettings &settings)
     {
         // The lease runs on the worker's clock, which may be 2% slow; the rest is for stops and
         // calls.
@@ -181,7 +181,7 @@
         if (m_arrivals.erase(id) == 0)
             return; // answered
         m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
-            dispatcher.callerGone(CallerId{id.value}, now, out);
+            dispatcher.callerDisconnected(CallerId{id.value}, now, out);
         });
     }
 
@@ -302,7 +302,7 @@
         if (start.instance == m_self || !m_entriesMet.insert(start.instance).second)
             return;
         addEntryAddress(start.address, "entry");
-        m_selection.heardOf(start.address, bootNow());
+        m_selection.reportedAlive(start.address, bootNow());
         m_newStarts.starts.push_back(start);
         planNews();
     }
@@ -353,7 +353,7 @@
             return; // the agent has a newer connection
         m_agentLinks.erase(agent);
         m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
-            dispatcher.onDisconnected(peer->instance, now, out);
+            dispatcher.onAgentDisconnected(peer->instance, now, out);
         });
     }
 
@@ -392,10 +392,10 @@
         if (!isNew) {
             // The agent reads only its newest connection: what is unsent on the older one is lost.
             const LinkId older = std::exchange(agent->second, id);
-            m_dispatcher.onDisconnected(hello.instance, now, out);
+            m_dispatcher.onAgentDisconnected(hello.instance, now, out);
             m_loop.post([this, older] { closeLink(older, "replaced"); });
         }
-        m_dispatcher.onConnected(hello, now, out);
+        m_dispatcher.onAgentConnected(hello, now, out);
     }
 
     void beat()
@@ -410,7 +410,7 @@
             if (now - it.heardAt > (isEntry ? DeadEntryLink : DeadLink))
                 silent.push_back(id);
             else if (it.link->isOpen() && (isEntry ? isEntryBeat : isBeatDue(*it.link)))
-                it.link->send(PeerBeat{now, 0});
+                it.link->send(PeerHeartbeat{now, 0});
         }
         for (const LinkId id : silent)
             closeLink(id, "silent");
--- a/src/dispatchmessages.h
+++ b/src/dispatchmessages.h
@@ -24,7 +24,7 @@
 
 // Keeps a connection alive on which nothing else is sent, and relates the two clocks. A clock here
 // is the time since the boot of the sender's machine and counts suspension.
-struct PeerBeat
+struct PeerHeartbeat
 {
     TimePoint sentAt;          // sender's clock
     std::uint32_t entries = 0; // entries that the sender hears, itself included
@@ -62,10 +62,10 @@
     Resources needs;
     int priority = 0;
     Duration expectedRun{};
-    TimePoint startBy;        // agent's clock; a task that has not started by then is refused
-    TimePoint endBy;          // agent's clock; a task that still runs then is stopped
-    TimePoint finishBy;       // agent's clock; a later end misses the objective
-    TimePoint orderBy;        // the earliest comes first when room is scarce
+    TimePoint startDeadline;  // agent's clock; a task that has not started by then is refused
+    TimePoint endDeadline;    // agent's clock; a task that still runs then is stopped
+    TimePoint objectiveTime;  // agent's clock; a later end misses the objective
+    TimePoint schedulingKey;  // the earliest comes first when room is scarce
     std::uint64_t number = 0; // of this assignment on this connection, from 1
 };
 
@@ -84,7 +84,7 @@
 };
 
 // Tasks of one priority that wait at a worker.
-struct QueuedRoom
+struct QueuedDemand
 {
     int priority = 0;
     Resources needs; // sum
@@ -94,13 +94,13 @@
 struct WorkerLoad
 {
     std::string workerId;
-    Resources free;                 // less what runs; none if the worker takes no tasks
-    std::vector<QueuedRoom> queued; // the most urgent first
-    double freeingRate = 0;         // cores that running tasks are expected to give back in a ms
-    bool isUsable = false;          // takes tasks
-    double slowness = 1;            // run times here against the entries' expectation
-    double failureShare = 0;        // of the newest ends
-    std::uint64_t assignments = 0;  // newest AssignTask::number that `free` takes into account
+    Resources free;                   // less what runs; none if the worker takes no tasks
+    std::vector<QueuedDemand> queued; // the most urgent first
+    double coreReleaseRate = 0;       // cores that running tasks are expected to give back in a ms
+    bool isUsable = false;            // takes tasks
+    double slowness = 1;              // run times here against the entries' expectation
+    double failureRate = 0;           // of the newest ends
+    std::uint64_t assignments = 0;    // newest AssignTask::number that `free` takes into account
 };
 
 struct TaskStarted
@@ -142,11 +142,11 @@
     std::vector<TaskStarted> waiting; // accepted and not started
     std::vector<TaskEnded> ended;     // lately
     // Workers at which nothing runs that an earlier process of the agent started.
-    std::vector<std::string> clearWorkers;
+    std::vector<std::string> orphanFreeWorkers;
 };
 
 // New types come last: the position is the type's number on the wire.
-using PeerMessage = std::variant<PeerHello, PeerBeat, KnownEntries, AssignTask, WithdrawTask,
+using PeerMessage = std::variant<PeerHello, PeerHeartbeat, KnownEntries, AssignTask, WithdrawTask,
                                  WorkerUpdate, WorkerLoad, TaskStarted, TaskLate, TaskEnded,
                                  StartRefused, TaskInventory, EntriesStarted>;
 
--- a/src/dispatchprocess.cpp
+++ b/src/dispatchprocess.cpp
@@ -219,7 +219,7 @@
 {
     for (const std::string &address : known.addresses)
         addEntryAddress(address, "entry");
-    m_selection.setLinks(m_role == Role::Agent ? AgentLinks : EntryLinks);
+    m_selection.setConnectionCount(m_role == Role::Agent ? AgentLinks : EntryLinks);
 }
 
 bool DispatchProcess::isBeatDue(const FramedLink &link) const
--- a/src/dispatchtypes.h
+++ b/src/dispatchtypes.h
@@ -104,7 +104,7 @@
     Resources capacity;
     std::vector<std::string> labels;
     bool isDraining = false;
-    std::int64_t bornAtMs = 0; // Unix time of its start; tells lives under one id apart
+    std::int64_t startedAtUnixMs = 0; // Unix time of its start; tells lives under one id apart
     std::uint64_t sequence = 0;
 
     bool operator==(const WorkerInfo &) const = default;
--- a/src/entrynode.cpp
+++ b/src/entrynode.cpp
@@ -45,7 +45,7 @@
     bool isActive() const { return m_ledger.member(m_self) != nullptr; }
     bool isServing() const { return m_stage == Stage::Serving; }
     bool isShutdownComplete() const { return m_stage == Stage::Left; }
-    std::vector<LoadDigest> loads(TimePoint now) const;
+    std::vector<LoadReport> loads(TimePoint now) const;
 
     JobRouter &router() { return m_router; }
     Membership &membership() { return m_membership; }
@@ -56,12 +56,12 @@
 
     struct KnownLoad
     {
-        LoadDigest digest;
+        LoadReport digest;
         TimePoint observedAt;
     };
 
     void dispatch(Incarnation from, const Message &message, TimePoint now, Outbox &out);
-    void observe(const LoadDigest &load, TimePoint now);
+    void observe(const LoadReport &load, TimePoint now);
     void onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out);
     void appendRegistration(Outbox &out);
     void checkRegistration(Outbox &out);
@@ -85,8 +85,8 @@
 
 void EntryNode::Impl::onEnvelope(const Envelope &envelope, TimePoint now, Outbox &out)
 {
-    m_membership.onHeard(envelope.from, now);
-    for (const LoadDigest &load : envelope.loads)
+    m_membership.onPeerActivity(envelope.from, now);
+    for (const LoadReport &load : envelope.loads)
         observe(load, now);
     for (const Message &message : envelope.messages)
         dispatch(envelope.from, message, now, out);
@@ -107,16 +107,16 @@
     m_router.onMessage(from, message, now, out);
 }
 
-void EntryNode::Impl::observe(const LoadDigest &load, TimePoint now)
+void EntryNode::Impl::observe(const LoadReport &load, TimePoint now)
 {
     KnownLoad &known = m_loads[load.agent];
     if (now - load.age >= known.observedAt)
         known = {load, now - load.age};
 }
 
-std::vector<LoadDigest> EntryNode::Impl::loads(TimePoint now) const
+std::vector<LoadReport> EntryNode::Impl::loads(TimePoint now) const
 {
-    std::vector<LoadDigest> result;
+    std::vector<LoadReport> result;
     for (const auto &[agent, known] : m_loads) {
         result.push_back(known.digest);
         result.back().age = now - known.observedAt;
@@ -283,9 +283,9 @@
     m_impl->membership().onLogReadStarted();
 }
 
-void EntryNode::onLogTipRead()
+void EntryNode::onLogEndRead()
 {
-    m_impl->membership().onLogTipRead();
+    m_impl->membership().onLogEndRead();
 }
 
 void EntryNode::onLogReachable(bool reachable, TimePoint now)
@@ -311,9 +311,9 @@
     m_impl->router().cancel(caller, key, waitUntil, now, out);
 }
 
-void EntryNode::callerGone(CallerId caller)
+void EntryNode::callerDisconnected(CallerId caller)
 {
-    m_impl->router().callerGone(caller);
+    m_impl->router().callerDisconnected(caller);
 }
 
 void EntryNode::onTimer(TimePoint now, Outbox &out)
@@ -353,12 +353,12 @@
     return m_impl->ledger();
 }
 
-std::size_t EntryNode::rememberedKeys() const
+std::size_t EntryNode::rememberedKeyCount() const
 {
-    return m_impl->router().rememberedKeys();
+    return m_impl->router().rememberedKeyCount();
 }
 
-std::vector<LoadDigest> EntryNode::loads(TimePoint now) const
+std::vector<LoadReport> EntryNode::loads(TimePoint now) const
 {
     return m_impl->loads(now);
 }
--- a/src/entrynode.h
+++ b/src/entrynode.h
@@ -30,14 +30,14 @@
     void onLogSnapshot(const SnapshotRecord &snapshot, TimePoint now, Outbox &out);
     // A read of the log begins, and has later returned the end of the log.
     void onLogReadStarted();
-    void onLogTipRead();
+    void onLogEndRead();
     void onLogReachable(bool reachable, TimePoint now); // nobody is suspected during an outage
     void submit(CallerId caller, JobSpec spec, TraceContext trace, TimePoint waitUntil,
                 TimePoint now, Outbox &out);
     void query(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now, Outbox &out);
     void cancel(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now,
                 Outbox &out);
-    void callerGone(CallerId caller);
+    void callerDisconnected(CallerId caller);
     void onTimer(TimePoint now, Outbox &out);
     void beginShutdown(TimePoint now, Outbox &out);
 
@@ -47,8 +47,8 @@
     bool acceptsJobs() const; // active, and not shutting down
     bool isShutdownComplete() const;
     const Ledger &ledger() const;
-    std::size_t rememberedKeys() const;
-    std::vector<LoadDigest> loads(TimePoint now) const; // last known load of every agent
+    std::size_t rememberedKeyCount() const;
+    std::vector<LoadReport> loads(TimePoint now) const; // last known load of every agent
 
 private:
     class Impl;
--- a/src/entryprocess.cpp
+++ b/src/entryprocess.cpp
@@ -125,11 +125,11 @@
     void onRequestClosed(RequestId id) override
     {
         if (m_waiting.erase(id) > 0)
-            m_node->callerGone(CallerId{id.value});
+            m_node->callerDisconnected(CallerId{id.value});
     }
 
     void onLogReadStarted() override { m_node->onLogReadStarted(); }
-    void onLogTipRead() override { m_node->onLogTipRead(); }
+    void onLogEndRead() override { m_node->onLogEndRead(); }
     void onLogReachable(bool isReachable) override
     {
         m_node->onLogReachable(isReachable, m_parts.loop.now());
@@ -138,7 +138,7 @@
     void updateRoleMetrics() override
     {
         m_parts.metrics.set("cactuscove_remembered_keys", {},
-                            static_cast<double>(m_node->rememberedKeys()));
+                            static_cast<double>(m_node->rememberedKeyCount()));
     }
 
     std::optional<OperatorApi> m_operators; // built with the node, whose ledger it reads
--- a/src/entryselection.cpp
+++ b/src/entryselection.cpp
@@ -82,7 +82,7 @@
                         : std::clamp<Duration>(it->pause * 2, ShortestRedial, LongestRedial);
 }
 
-void EntrySelection::heardOf(std::string_view address, TimePoint now)
+void EntrySelection::reportedAlive(std::string_view address, TimePoint now)
 {
     Entry *it = find(address);
     if (it && it->state == State::Idle)
--- a/src/entryselection.h
+++ b/src/entryselection.h
@@ -27,14 +27,14 @@
     EntrySelection(std::string self, std::size_t links);
 
     // Commands
-    void setLinks(std::size_t links) { m_links = links; }
+    void setConnectionCount(std::size_t links) { m_links = links; }
     bool add(std::string_view address); // false if it is known already
     void dialled(std::string_view address, TimePoint now);
     void opened(std::string_view address);
     // The connection has ended, or did not open.
     void closed(std::string_view address, TimePoint now);
     // Others hear the entry: it is due to be dialled at once if it is wanted.
-    void heardOf(std::string_view address, TimePoint now);
+    void reportedAlive(std::string_view address, TimePoint now);
 
     struct Plan
     {
--- a/src/eventloop.cpp
+++ b/src/eventloop.cpp
@@ -102,7 +102,7 @@
     m_impl->posted.push_back(std::move(task));
 }
 
-void EventLoop::atTurnEnd(std::function<void()> task)
+void EventLoop::atIterationEnd(std::function<void()> task)
 {
     m_impl->turnEnd.push_back(std::move(task));
 }
--- a/src/eventloop.h
+++ b/src/eventloop.h
@@ -25,7 +25,7 @@
     // Runs `task` in the next turn of the loop.
     void post(std::function<void()> task);
     // Runs `task` once at the end of each turn, before the loop waits for events.
-    void atTurnEnd(std::function<void()> task);
+    void atIterationEnd(std::function<void()> task);
     void onSignal(int signal, std::function<void()> task);
 
     TimePoint now() const; // steady clock, read anew at each call
--- a/src/httpserver.cpp
+++ b/src/httpserver.cpp
@@ -56,7 +56,7 @@
 
     std::optional<HttpServerError> start(std::string_view address);
     void respond(RequestId id, HttpResponse response);
-    void drop(RequestId id);
+    void closeWithoutResponse(RequestId id);
     void stopAccepting();
 
     std::string ip;
@@ -327,7 +327,7 @@
     resume(exchange);
 }
 
-void HttpServer::Impl::drop(RequestId id)
+void HttpServer::Impl::closeWithoutResponse(RequestId id)
 {
     const auto it = m_exchanges.find(id);
     if (it == m_exchanges.end() || it->second->response)
@@ -352,7 +352,7 @@
     exchange.callerWatcher = std::make_unique<IoWatcher>(
         m_loop, descriptorOf(exchange.connection), [this, &exchange](int) {
             if (hasCallerLeft(exchange.connection))
-                drop(exchange.id);
+                closeWithoutResponse(exchange.id);
             else
                 exchange.callerWatcher->watch(IoWatcher::None);
         });
@@ -387,9 +387,9 @@
     m_impl->respond(id, std::move(response));
 }
 
-void HttpServer::drop(RequestId id)
+void HttpServer::closeWithoutResponse(RequestId id)
 {
-    m_impl->drop(id);
+    m_impl->closeWithoutResponse(id);
 }
 
 void HttpServer::stopAccepting()
--- a/src/httpserver.h
+++ b/src/httpserver.h
@@ -65,7 +65,7 @@
     // Does nothing if the request has ended.
     void respond(RequestId id, HttpResponse response);
     // Closes the connection without a response. Stand-ins use it to lose replies.
-    void drop(RequestId id);
+    void closeWithoutResponse(RequestId id);
     // Stops accepting connections; open ones are served on.
     void stopAccepting();
 
--- a/src/jobdispatcher.cpp
+++ b/src/jobdispatcher.cpp
@@ -245,7 +245,7 @@
     m_ready.insert(rankOf(number, it));
 }
 
-void JobDispatcher::callerGone(CallerId caller, TimePoint now, DispatcherOutbox &out)
+void JobDispatcher::callerDisconnected(CallerId caller, TimePoint now, DispatcherOutbox &out)
 {
     enter(now, out);
     const auto found = m_jobsByCaller.find(caller);
@@ -368,9 +368,9 @@
     const auto worker = m_directory.choose(requestOf(job, task, now), now);
     if (!worker)
         return false;
-    const auto startBy = m_directory.agentTime(worker->agent, now + StartPatience);
-    const auto endBy = m_directory.agentTime(worker->agent, job.deadline);
-    if (!startBy || !endBy)
+    const auto startDeadline = m_directory.agentTime(worker->agent, now + StartPatience);
+    const auto endDeadline = m_directory.agentTime(worker->agent, job.deadline);
+    if (!startDeadline || !endDeadline)
         return false;
     ++task.attempt;
     task.worker = *worker;
@@ -386,10 +386,10 @@
     message.needs = job.spec.needs;
     message.priority = job.priority;
     message.expectedRun = job.expectedRun;
-    message.startBy = *startBy;
-    message.endBy = *endBy;
-    message.finishBy = *m_directory.agentTime(worker->agent, job.objectiveAt);
-    message.orderBy = *m_directory.agentTime(worker->agent, job.latestStart);
+    message.startDeadline = *startDeadline;
+    message.endDeadline = *endDeadline;
+    message.objectiveTime = *m_directory.agentTime(worker->agent, job.objectiveAt);
+    message.schedulingKey = *m_directory.agentTime(worker->agent, job.latestStart);
     message.number = m_directory.book(*worker, job.priority, job.spec.needs);
     out.emplace_back(SendToAgent{worker->agent, std::move(message)});
     return true;
@@ -449,7 +449,7 @@
     }
 }
 
-void JobDispatcher::settle(TimePoint now, DispatcherOutbox &out)
+void JobDispatcher::processPending(TimePoint now, DispatcherOutbox &out)
 {
     m_enteredAt = now;
     if (now >= m_nextExpiry)
--- a/src/jobdispatcher.h
+++ b/src/jobdispatcher.h
@@ -7,7 +7,7 @@
 // caller is told that a job was not run only if no attempt of any task was started.
 //
 // No socket and no clock: inputs carry the time, which must count suspension of the machine. Inputs
-// only change the state; settle() acts on it.
+// only change the state; processPending() acts on it.
 
 #pragma once
 
@@ -64,7 +64,7 @@
 {
     std::uint64_t seed = 0;
     // A run that an agent was told to start has ended this long after the agent was last heard.
-    Duration proofTime = std::chrono::milliseconds(1800);
+    Duration lostAgentTimeout = std::chrono::milliseconds(1800);
 };
 
 class JobDispatcher
@@ -77,14 +77,14 @@
     // `patience` is how long the caller waits from now.
     void submit(CallerId caller, BestEffortJob job, Duration patience, TimePoint now,
                 DispatcherOutbox &out);
-    void callerGone(CallerId caller, TimePoint now, DispatcherOutbox &out);
-    void onConnected(const PeerHello &agent, TimePoint now, DispatcherOutbox &out);
-    void onDisconnected(Incarnation agent, TimePoint now, DispatcherOutbox &out);
+    void callerDisconnected(CallerId caller, TimePoint now, DispatcherOutbox &out);
+    void onAgentConnected(const PeerHello &agent, TimePoint now, DispatcherOutbox &out);
+    void onAgentDisconnected(Incarnation agent, TimePoint now, DispatcherOutbox &out);
     void onMessage(Incarnation agent, const PeerMessage &message, TimePoint now,
                    DispatcherOutbox &out);
     // Gives up what has expired and places what waits. To be called after inputs, once for several,
     // and at nextTimer().
-    void settle(TimePoint now, DispatcherOutbox &out);
+    void processPending(TimePoint now, DispatcherOutbox &out);
     void beginShutdown(); // no new jobs from now on
 
     // Queries
@@ -213,7 +213,7 @@
     std::map<Incarnation, PeerHello> m_agents; // connected
     JobNumber m_lastJob = 0;
     std::int64_t m_unproven = 0;        // tasks in that state
-    TimePoint m_nextExpiry = NeverTime; // as of the newest settle()
+    TimePoint m_nextExpiry = NeverTime; // as of the newest processPending()
     TimePoint m_enteredAt{};
     std::map<Incarnation, std::uint32_t> m_entriesHeard; // as the agents report
     bool m_shuttingDown = false;
--- a/src/jobdispatcheragents.cpp
+++ b/src/jobdispatcheragents.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void JobDispatcher::onConnected(const PeerHello &agent, TimePoint now, DispatcherOutbox &out)
+void JobDispatcher::onAgentConnected(const PeerHello &agent, TimePoint now, DispatcherOutbox &out)
 {
     enter(now, out);
     m_agents[agent.instance] = agent;
@@ -37,7 +37,7 @@
                 task.provenAt = NeverTime;
 }
 
-void JobDispatcher::onDisconnected(Incarnation agent, TimePoint now, DispatcherOutbox &out)
+void JobDispatcher::onAgentDisconnected(Incarnation agent, TimePoint now, DispatcherOutbox &out)
 {
     enter(now, out);
     m_directory.agentDisconnected(agent);
@@ -58,9 +58,9 @@
                                            {"attempt", std::to_string(task.attempt)},
                                            {"worker", task.worker.worker},
                                            {"agent", task.agentName},
-                                           {"proven_in_ms", msText(m_settings.proofTime)}}});
+                                           {"proven_in_ms", msText(m_settings.lostAgentTimeout)}}});
             }
-            task.provenAt = now + m_settings.proofTime;
+            task.provenAt = now + m_settings.lostAgentTimeout;
             setState(number, job, task, State::Unproven);
         }
     }
@@ -71,7 +71,7 @@
 {
     enter(now, out);
     m_directory.agentHeard(agent, now);
-    if (const auto *beat = std::get_if<PeerBeat>(&message)) {
+    if (const auto *beat = std::get_if<PeerHeartbeat>(&message)) {
         m_directory.agentClock(agent, beat->sentAt, now);
         m_entriesHeard[agent] = beat->entries;
     } else if (const auto *update = std::get_if<WorkerUpdate>(&message)) {
@@ -253,7 +253,7 @@
                     onStarted(agent, it, now, out);
             }
         }
-    const std::vector<std::string> &clear = inventory.clearWorkers;
+    const std::vector<std::string> &clear = inventory.orphanFreeWorkers;
     std::vector<std::pair<JobNumber, std::uint32_t>> proven;
     for (auto &[number, job] : m_jobs)
         for (std::uint32_t i = 0; i < job.tasks.size(); ++i) {
--- a/src/jobhome.cpp
+++ b/src/jobhome.cpp
@@ -70,7 +70,7 @@
         syncAgents(now, out);
 }
 
-void JobHome::onKnowledgeChange(TimePoint now, Outbox &out)
+void JobHome::decideWaitingJobs(TimePoint now, Outbox &out)
 {
     for (auto it = m_waiting.begin(); it != m_waiting.end();) {
         Job *job = (it++)->second; // decide() may remove it from the map
@@ -94,7 +94,7 @@
         const Duration memory = m_parts.ledger.fleetConfig().idMemory;
         std::erase_if(m_former, [&](const Former &it) { return it.since + memory <= now; });
     }
-    placeQueued(now, out);
+    placeQueuedTasks(now, out);
 }
 
 TimePoint JobHome::nextTimer() const
@@ -257,7 +257,7 @@
     for (std::uint16_t n = 0; n < job.taskCount; ++n)
         queue({&job, n}, now, QueueEnd::Back);
     wakeAt(job, now + StalledJobCheck);
-    placeQueued(now, out);
+    placeQueuedTasks(now, out);
 }
 
 std::optional<Answer> JobHome::refusalOf(const Job &job, TimePoint now)
@@ -273,7 +273,7 @@
     if (!m_parts.placement.hasUpstream(spec.upstream))
         return notRun("no_upstream", spread(spec.key, ShortRetry));
     const auto canRun = [&](const TaskSpec &task) {
-        return m_parts.placement.canRunSomewhere(spec.upstream, task.needs);
+        return m_parts.placement.hasCapableAgent(spec.upstream, task.needs);
     };
     if (!std::ranges::all_of(spec.tasks, canRun))
         return knowsAllLoads ? notRun("cannot_run", std::nullopt)
--- a/src/jobhome.h
+++ b/src/jobhome.h
@@ -47,12 +47,12 @@
     // To be called after ShardOwnership has followed the same change.
     void onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out);
     // Decides on the jobs that wait for the witnesses of their shard.
-    void onKnowledgeChange(TimePoint now, Outbox &out);
-    void onLoad(const LoadDigest &digest, TimePoint now);
+    void decideWaitingJobs(TimePoint now, Outbox &out);
+    void onLoad(const LoadReport &digest, TimePoint now);
     void onTimer(TimePoint now, Outbox &out);
-    void adopt(const ArrivedTable &table, TimePoint now);
+    void importShard(const ReceivedShard &table, TimePoint now);
     // Sends queued tasks to agents; called after events that may have freed slots.
-    void placeQueued(TimePoint now, Outbox &out);
+    void placeQueuedTasks(TimePoint now, Outbox &out);
 
     // Queries
     TimePoint nextTimer() const;
--- a/src/jobhomememory.cpp
+++ b/src/jobhomememory.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void JobHome::adopt(const ArrivedTable &table, TimePoint now)
+void JobHome::importShard(const ReceivedShard &table, TimePoint now)
 {
     for (const TransferredJob &it : table.jobs) {
         auto [place, isNew] = m_jobs.try_emplace(it.key);
--- a/src/jobhomeplacement.cpp
+++ b/src/jobhomeplacement.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-void JobHome::onLoad(const LoadDigest &digest, TimePoint now)
+void JobHome::onLoad(const LoadReport &digest, TimePoint now)
 {
     if (!m_agents.contains(digest.agent))
         return;
@@ -132,7 +132,7 @@
     m_parts.admission.pushFront(std::move(queued));
 }
 
-void JobHome::placeQueued(TimePoint now, Outbox &out)
+void JobHome::placeQueuedTasks(TimePoint now, Outbox &out)
 {
     for (auto &[upstream, stats] : m_stats) {
         std::vector<QueuedTask> passedOver;
@@ -171,7 +171,7 @@
         || m_raised[shardOf(job.spec.key).value] > job.epoch)
         return false;
     const std::string &upstream = job.spec.upstream;
-    const TaskNeeds &needs = job.spec.tasks[place.index].needs;
+    const TaskResources &needs = job.spec.tasks[place.index].needs;
     std::vector<Incarnation> excluded = task.excluded;
     for (const Try &it : task.tries)
         excluded.push_back(it.agent);
@@ -304,7 +304,7 @@
         if (task.notBefore > now)
             return wakeAt(job, task.notBefore);
         queue(place, now, QueueEnd::Front);
-        return placeQueued(now, out);
+        return placeQueuedTasks(now, out);
     }
     const TaskRef ref{job.spec.key, place.index};
     for (Try &it : task.tries) {
--- a/src/jobhometasks.cpp
+++ b/src/jobhometasks.cpp
@@ -110,7 +110,7 @@
     if (isLocal)
         task.excluded.push_back(from);
     if (message.reason == TaskRefusal::CannotRun
-        && !m_parts.placement.canRunSomewhere(job.spec.upstream, job.spec.tasks[place.index].needs))
+        && !m_parts.placement.hasCapableAgent(job.spec.upstream, job.spec.tasks[place.index].needs))
         return giveUp(job, "cannot_run", std::nullopt, now, out);
     afterNoStart(place, Duration::zero(), now, out);
 }
@@ -266,7 +266,7 @@
         pause = std::max(pause, std::min(FirstBouncePause * (1 << doublings), LongestBouncePause));
     }
     requeue(place, pause, now);
-    placeQueued(now, out);
+    placeQueuedTasks(now, out);
 }
 
 void JobHome::taskCompleted(TaskPlace place, Incarnation agent, std::uint32_t attempt,
@@ -315,7 +315,7 @@
     if (job.spec.idempotent) {
         if (boundTry(task) != nullptr)
             return; // a hedge is still running
-        if (task.retries < MaxRetries && statsOf(job.spec.upstream).budget.tryRetry()) {
+        if (task.retries < MaxRetries && statsOf(job.spec.upstream).budget.trySpend()) {
             ++task.retries;
             task.excluded.push_back(agent);
             releaseTries(place, false, out);
--- a/src/jobrouter.cpp
+++ b/src/jobrouter.cpp
@@ -129,7 +129,7 @@
     update(key);
 }
 
-void JobRouter::callerGone(CallerId caller)
+void JobRouter::callerDisconnected(CallerId caller)
 {
     const auto it = m_callers.find(caller);
     if (it == m_callers.end())
--- a/src/jobrouter.h
+++ b/src/jobrouter.h
@@ -34,7 +34,7 @@
     void query(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now, Outbox &out);
     void cancel(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now,
                 Outbox &out);
-    void callerGone(CallerId caller); // the job itself goes on
+    void callerDisconnected(CallerId caller); // the job itself goes on
     void onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out);
     // At most once for each message that was sent.
     void onUndelivered(Incarnation to, const Message &message, TimePoint now, Outbox &out);
@@ -44,7 +44,7 @@
     // Queries
     TimePoint nextTimer() const;
     bool isIdle() const { return m_jobs.empty(); } // no caller waits, every job has a home
-    std::size_t rememberedKeys() const { return m_memory.size(); }
+    std::size_t rememberedKeyCount() const { return m_memory.size(); }
     std::size_t memoryBytes() const { return m_memory.bytes(); }
     std::vector<AdoptedJob> memory(ShardId shard, TimePoint now) const;
     Epoch fence(ShardId shard) const; // rule R2
--- a/src/logclient.cpp
+++ b/src/logclient.cpp
@@ -169,8 +169,8 @@
     succeeded();
     const bool isWhole = page->records.size() < RecordsPerRead;
     onPage(std::move(*page));
-    if (isWhole && !m_isSearching && m_handlers.onTipRead)
-        m_handlers.onTipRead();
+    if (isWhole && !m_isSearching && m_handlers.onEndRead)
+        m_handlers.onEndRead();
 }
 
 void LogClient::onPage(Page page)
--- a/src/logclient.h
+++ b/src/logclient.h
@@ -40,7 +40,7 @@
     std::function<void()> onReadStarted;               // may be empty
     // The read that started last has returned the end of the log; after its onRecords; may be
     // empty.
-    std::function<void()> onTipRead;
+    std::function<void()> onEndRead;
     // Whether the process's ledger has the append, from whatever source; may be empty.
     std::function<bool(const std::string &appendId)> hasAppend;
 };
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -153,7 +153,7 @@
     std::erase_if(m_goneSince, isUnknown);
 }
 
-void Membership::onHeard(Incarnation from, TimePoint now)
+void Membership::onPeerActivity(Incarnation from, TimePoint now)
 {
     if (const auto it = m_watches.find(from); it != m_watches.end()) {
         it->second.lastHeard = now;
@@ -187,7 +187,7 @@
         watch.readingStamp = watch.stamp;
 }
 
-void Membership::onLogTipRead()
+void Membership::onLogEndRead()
 {
     for (auto &[incarnation, watch] : m_watches)
         watch.confirmedStamp = watch.readingStamp;
--- a/src/membership.h
+++ b/src/membership.h
@@ -28,11 +28,11 @@
                    Outbox &out);
     // The ledger has been restored from a snapshot.
     void onRestored(TimePoint now);
-    void onHeard(Incarnation from, TimePoint now); // any message is a sign of life
+    void onPeerActivity(Incarnation from, TimePoint now); // any message is a sign of life
     void onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out);
     // A read of the log begins, and has later returned the end of the log.
     void onLogReadStarted();
-    void onLogTipRead();
+    void onLogEndRead();
     void setLogReachable(bool isReachable, TimePoint now); // nobody is suspected during an outage
     void onTimer(TimePoint now, Outbox &out);
 
--- a/src/messagefields.h
+++ b/src/messagefields.h
@@ -55,10 +55,10 @@
                       required("span", &TraceContext::spanId)};
 }
 
-constexpr auto fieldsOf(Tag<TaskNeeds>)
+constexpr auto fieldsOf(Tag<TaskResources>)
 {
-    return std::tuple{optional("accelerators", &TaskNeeds::accelerators),
-                      optional("memory_mb", &TaskNeeds::memoryMb)};
+    return std::tuple{optional("accelerators", &TaskResources::accelerators),
+                      optional("memory_mb", &TaskResources::memoryMb)};
 }
 
 constexpr auto fieldsOf(Tag<TaskSpec>)
@@ -100,17 +100,17 @@
                       optional("tasks", &Answer::tasks)};
 }
 
-constexpr auto fieldsOf(Tag<LoadDigest>)
+constexpr auto fieldsOf(Tag<LoadReport>)
 {
-    return std::tuple{required("agent", &LoadDigest::agent),
-                      optional("upstream", &LoadDigest::upstream),
-                      optional("free", &LoadDigest::freeSlots),
-                      optional("slots", &LoadDigest::slots),
-                      optional("queued", &LoadDigest::queued),
-                      optional("capacity", &LoadDigest::capacity),
-                      optional("draining", &LoadDigest::draining),
-                      optional("age", &LoadDigest::age),
-                      optional("failures", &LoadDigest::failurePercent)};
+    return std::tuple{required("agent", &LoadReport::agent),
+                      optional("upstream", &LoadReport::upstream),
+                      optional("free", &LoadReport::freeSlots),
+                      optional("slots", &LoadReport::slots),
+                      optional("queued", &LoadReport::queued),
+                      optional("capacity", &LoadReport::capacity),
+                      optional("draining", &LoadReport::draining),
+                      optional("age", &LoadReport::age),
+                      optional("failures", &LoadReport::failurePercent)};
 }
 
 constexpr auto fieldsOf(Tag<TaskRef>)
--- a/src/messages.h
+++ b/src/messages.h
@@ -273,7 +273,7 @@
 {
     Incarnation from;
     Incarnation to;
-    std::vector<LoadDigest> loads;
+    std::vector<LoadReport> loads;
     std::vector<Message> messages;
 };
 
--- a/src/nodeprocess.h
+++ b/src/nodeprocess.h
@@ -146,7 +146,7 @@
     virtual void onRequestClosed(RequestId) {}
     virtual void onLedgerChange() {}
     virtual void onLogReadStarted() {}
-    virtual void onLogTipRead() {}
+    virtual void onLogEndRead() {}
     virtual void onLogReachable(bool) {}
     virtual void updateRoleMetrics() = 0;
     virtual void perform(AnswerCaller &) {}
@@ -222,7 +222,7 @@
             onLogReachable(isReachable);
         };
         handlers.onReadStarted = [this] { onLogReadStarted(); };
-        handlers.onTipRead = [this] { onLogTipRead(); };
+        handlers.onEndRead = [this] { onLogEndRead(); };
         handlers.hasAppend
             = [this](const std::string &appendId) { return m_node->ledger().hasAppend(appendId); };
         return handlers;
--- a/src/operatorapi.cpp
+++ b/src/operatorapi.cpp
@@ -115,7 +115,7 @@
     return state.isDown ? "down" : "up";
 }
 
-Json::Value describe(const LoadDigest &load)
+Json::Value describe(const LoadReport &load)
 {
     Json::Value json;
     json["upstream"] = load.upstream;
@@ -217,7 +217,7 @@
     json["log_reachable"] = m_hooks.isLogReachable();
     json["ledger_next"] = uint(m_ledger.next().value);
     std::map<Incarnation, Json::Value> loads;
-    for (const LoadDigest &load : m_hooks.loads())
+    for (const LoadReport &load : m_hooks.loads())
         loads[load.agent] = describe(load);
     std::map<Incarnation, unsigned> shards;
     for (std::uint16_t i = 0; i < ShardCount; ++i)
--- a/src/operatorapi.h
+++ b/src/operatorapi.h
@@ -21,7 +21,7 @@
 {
     std::function<bool()> isReady; // the ledger has caught up with the log
     std::function<bool()> isLogReachable;
-    std::function<std::vector<LoadDigest>()> loads;
+    std::function<std::vector<LoadReport>()> loads;
     std::function<void(Record)> append;                            // LogClient::append()
     std::function<bool(const std::string &appendId)> withdraw;     // LogClient::withdraw()
     std::function<void(RequestId id, HttpResponse reply)> respond; // may be called in handle()
--- a/src/peerlinks.cpp
+++ b/src/peerlinks.cpp
@@ -73,7 +73,7 @@
             envelopeFor(envelope.from, std::exchange(m_peers[envelope.from].pending, {})));
     })
 {
-    m_loop.atTurnEnd([this] { flush(); });
+    m_loop.atIterationEnd([this] { flush(); });
 }
 
 void PeerLinks::send(Incarnation to, Message message)
@@ -111,12 +111,12 @@
 }
 
 // The next digests in turn, so that every peer sees every agent's load over several envelopes.
-std::vector<LoadDigest> PeerLinks::nextLoads()
+std::vector<LoadReport> PeerLinks::nextLoads()
 {
-    std::vector<LoadDigest> all = m_hooks.loads();
+    std::vector<LoadReport> all = m_hooks.loads();
     if (all.size() <= MaxLoadsPerEnvelope)
         return all;
-    std::vector<LoadDigest> some;
+    std::vector<LoadReport> some;
     for (std::size_t n = 0; n < MaxLoadsPerEnvelope; ++n)
         some.push_back(std::move(all[(m_loadCursor + n) % all.size()]));
     m_loadCursor = (m_loadCursor + MaxLoadsPerEnvelope) % all.size();
--- a/src/peerlinks.h
+++ b/src/peerlinks.h
@@ -22,7 +22,7 @@
 struct PeerLinkHooks
 {
     std::function<std::optional<std::string>(Incarnation)> addressOf;
-    std::function<std::vector<LoadDigest>()> loads;
+    std::function<std::vector<LoadReport>()> loads;
     std::function<void(const Envelope &)> received;
     std::function<void(Incarnation to, const Message &)> undelivered;
 };
@@ -56,7 +56,7 @@
     void receive(const Envelope &envelope);
     void reportUndelivered(const Envelope &sent);
     Envelope envelopeFor(Incarnation to, std::vector<Message> messages);
-    std::vector<LoadDigest> nextLoads();
+    std::vector<LoadReport> nextLoads();
 
     EventLoop &m_loop;
     HttpClient &m_client;
--- a/src/placement.cpp
+++ b/src/placement.cpp
@@ -19,12 +19,12 @@
 // home with a job of 370 tasks is served before all later jobs of the others.
 constexpr double MaxReservationsPerAgent = 1;
 
-bool fits(const TaskNeeds &needs, const TaskNeeds &capacity)
+bool fits(const TaskResources &needs, const TaskResources &capacity)
 {
     return needs.accelerators <= capacity.accelerators && needs.memoryMb <= capacity.memoryMb;
 }
 
-bool serves(const LoadDigest &load, std::string_view upstream)
+bool serves(const LoadReport &load, std::string_view upstream)
 {
     return load.upstream == upstream && !load.draining && load.slots > 0;
 }
@@ -164,7 +164,7 @@
 }
 
 template <PlacementPolicy Policy>
-void BasicPlacement<Policy>::observe(const LoadDigest &digest, TimePoint now)
+void BasicPlacement<Policy>::observe(const LoadReport &digest, TimePoint now)
 {
     m_now = std::max(m_now, now);
     const auto it = m_agents.find(digest.agent);
@@ -223,7 +223,7 @@
 
 template <PlacementPolicy Policy>
 std::vector<Candidate> BasicPlacement<Policy>::candidates(std::string_view upstream,
-                                                          const TaskNeeds &needs,
+                                                          const TaskResources &needs,
                                                           std::span<const Incarnation> excluded,
                                                           std::string_view flow) const
 {
@@ -248,9 +248,9 @@
 }
 
 template <PlacementPolicy Policy>
-std::optional<Incarnation> BasicPlacement<Policy>::chooseFree(std::string_view upstream,
-                                                              const TaskNeeds &needs, TimePoint now,
-                                                              std::span<const Incarnation> excluded)
+std::optional<Incarnation>
+BasicPlacement<Policy>::chooseFree(std::string_view upstream, const TaskResources &needs,
+                                   TimePoint now, std::span<const Incarnation> excluded)
 {
     m_now = std::max(m_now, now);
     const std::vector<Candidate> all = candidates(upstream, needs, excluded, {});
@@ -260,7 +260,7 @@
 
 template <PlacementPolicy Policy>
 std::optional<Incarnation>
-BasicPlacement<Policy>::chooseForReservation(std::string_view upstream, const TaskNeeds &needs,
+BasicPlacement<Policy>::chooseForReservation(std::string_view upstream, const TaskResources &needs,
                                              TimePoint now, std::span<const Incarnation> excluded,
                                              std::string_view flow)
 {
@@ -271,8 +271,8 @@
 }
 
 template <PlacementPolicy Policy>
-bool BasicPlacement<Policy>::canRunSomewhere(std::string_view upstream,
-                                             const TaskNeeds &needs) const
+bool BasicPlacement<Policy>::hasCapableAgent(std::string_view upstream,
+                                             const TaskResources &needs) const
 {
     return std::any_of(m_agents.begin(), m_agents.end(), [&](const auto &it) {
         return serves(it.second.load, upstream) && fits(needs, it.second.load.capacity);
--- a/src/placement.h
+++ b/src/placement.h
@@ -83,7 +83,7 @@
     // Commands
     void setAgent(Incarnation agent, std::string_view dataCentre);
     void removeAgent(Incarnation agent);
-    void observe(const LoadDigest &digest, TimePoint now); // older observations are ignored
+    void observe(const LoadReport &digest, TimePoint now); // older observations are ignored
     void setWeight(Incarnation agent, double weight);      // from WorkerHealth; 0 is ejected
     void taskSent(Incarnation agent);
     void taskEnded(Incarnation agent);
@@ -95,15 +95,15 @@
 
     // Queries
     // An agent that is believed to have a free slot; none if all are believed busy.
-    std::optional<Incarnation> chooseFree(std::string_view upstream, const TaskNeeds &needs,
+    std::optional<Incarnation> chooseFree(std::string_view upstream, const TaskResources &needs,
                                           TimePoint now, std::span<const Incarnation> excluded);
     // The agent on which a reservation is expected to wait the shortest; none if the home already
     // holds its limit for the flow on every agent.
     std::optional<Incarnation> chooseForReservation(std::string_view upstream,
-                                                    const TaskNeeds &needs, TimePoint now,
+                                                    const TaskResources &needs, TimePoint now,
                                                     std::span<const Incarnation> excluded,
                                                     std::string_view flow = {});
-    bool canRunSomewhere(std::string_view upstream, const TaskNeeds &needs) const;
+    bool hasCapableAgent(std::string_view upstream, const TaskResources &needs) const;
     bool hasUpstream(std::string_view upstream) const;
     std::uint32_t totalSlots(std::string_view upstream) const;
 
@@ -111,7 +111,7 @@
     struct Agent
     {
         std::string dataCentre;
-        LoadDigest load;
+        LoadReport load;
         TimePoint observedAt = TimePoint::min();
         std::deque<TimePoint> sends;        // that the digest may not contain; in time order
         std::deque<TimePoint> reservations; // likewise
@@ -119,7 +119,7 @@
         double weight = 1;
     };
 
-    std::vector<Candidate> candidates(std::string_view upstream, const TaskNeeds &needs,
+    std::vector<Candidate> candidates(std::string_view upstream, const TaskResources &needs,
                                       std::span<const Incarnation> excluded,
                                       std::string_view flow) const;
 
--- a/src/retrybudget.cpp
+++ b/src/retrybudget.cpp
@@ -30,7 +30,7 @@
     m_tokens = std::min(m_burst, m_tokens + m_perSuccess);
 }
 
-bool RetryBudget::tryRetry()
+bool RetryBudget::trySpend()
 {
     if (m_tokens < 1 - Rounding)
         return false;
--- a/src/retrybudget.h
+++ b/src/retrybudget.h
@@ -13,7 +13,7 @@
     static RetryBudget create(double perSuccess, double burst);
 
     void success();
-    bool tryRetry(); // spends one token if there is one
+    bool trySpend(); // spends one token if there is one
 
     double tokens() const { return m_tokens; }
 
--- a/src/shardownership.cpp
+++ b/src/shardownership.cpp
@@ -135,7 +135,7 @@
     driveMoves(now, out);
 }
 
-std::vector<ArrivedTable> ShardOwnership::takeArrivedTables()
+std::vector<ReceivedShard> ShardOwnership::takeReceivedShards()
 {
     return std::exchange(m_arrived, {});
 }
@@ -195,7 +195,7 @@
     return it == m_witnessed.end() ? nullptr : &it->second.job;
 }
 
-bool ShardOwnership::ownsNothing() const
+bool ShardOwnership::hasNothingToTransfer() const
 {
     // A shard that is not known completely cannot be handed over: its next home asks the witnesses.
     const auto canMove = [](const auto &it) {
@@ -314,7 +314,7 @@
 
 void ShardOwnership::adoptTable(ShardId shard, IncomingTable table, TimePoint now)
 {
-    ArrivedTable arrived{{shard, table.claim.epoch}, {}, table.arrivedAt};
+    ReceivedShard arrived{{shard, table.claim.epoch}, {}, table.arrivedAt};
     for (auto &[key, job] : table.jobs)
         arrived.jobs.push_back(std::move(job));
     for (const WitnessedJob &job : table.witnessed)
--- a/src/shardownership.h
+++ b/src/shardownership.h
@@ -36,7 +36,7 @@
 };
 
 // A table that came with a shard, for the new home's job state.
-struct ArrivedTable
+struct ReceivedShard
 {
     ShardClaim claim;
     std::vector<TransferredJob> jobs;
@@ -58,7 +58,7 @@
     // The ledger is known to hold all that the log held at `contact`. After id_memory without
     // contact this home takes no new job: by then others may have forgotten it (rule R8).
     void setLogContact(TimePoint contact, TimePoint now);
-    std::vector<ArrivedTable> takeArrivedTables();
+    std::vector<ReceivedShard> takeReceivedShards();
 
     // Queries
     TimePoint nextTimer() const;
@@ -69,7 +69,7 @@
     // What witnesses said of a key that this home has not accepted itself.
     const WitnessedJob *witnessed(const KeyHash &key) const;
     // No shard is left that could be transferred.
-    bool ownsNothing() const;
+    bool hasNothingToTransfer() const;
 
 private:
     enum class MoveStage { Draining, Sending, Acknowledged, Claiming };
@@ -135,7 +135,7 @@
     std::map<ShardId, Owned> m_owned; // exactly the shards whose home is self in the ledger
     std::unordered_map<KeyHash, Remembered> m_witnessed;
     std::map<ShardId, IncomingTable> m_incoming; // announced, not yet claimed for self
-    std::vector<ArrivedTable> m_arrived;
+    std::vector<ReceivedShard> m_arrived;
     struct PendingClaim
     {
         Epoch epoch;
--- a/src/taskexecutor.cpp
+++ b/src/taskexecutor.cpp
@@ -138,9 +138,9 @@
               });
 }
 
-LoadDigest TaskExecutor::load() const
+LoadReport TaskExecutor::load() const
 {
-    LoadDigest digest;
+    LoadReport digest;
     digest.agent = m_self;
     digest.draining = m_isDraining;
     digest.queued = static_cast<std::uint32_t>(m_queue.size() + m_offers.size());
--- a/src/taskexecutor.h
+++ b/src/taskexecutor.h
@@ -43,7 +43,7 @@
     // Queries
     TimePoint nextTimer() const;
     bool isIdle() const; // nothing runs and every result is acknowledged or its home is gone
-    LoadDigest load() const;
+    LoadReport load() const;
     // What it knows of a shard at epochs lower than the claimed one.
     std::vector<WitnessedJob> witnessed(ShardId shard, Epoch below) const;
     std::vector<AdoptedJob> memory(TimePoint now) const;
--- a/src/taskrunner.cpp
+++ b/src/taskrunner.cpp
@@ -37,7 +37,7 @@
 bool TaskRunner::isSilent(Incarnation entry, TimePoint now) const
 {
     const auto it = m_entries.find(entry);
-    return it == m_entries.end() || now - it->second.heardAt > m_settings.entrySilence;
+    return it == m_entries.end() || now - it->second.heardAt > m_settings.entryTimeout;
 }
 
 Resources TaskRunner::used(const Worker &worker) const
@@ -65,15 +65,15 @@
     worker = std::move(fresh);
 }
 
-void TaskRunner::onWorker(const WorkerInfo &info, TimePoint now, RunnerOutbox &out)
+void TaskRunner::onWorkerInfo(const WorkerInfo &info, TimePoint now, RunnerOutbox &out)
 {
     enter(now, out);
     const auto [it, isNew] = m_workers.try_emplace(info.id);
     Worker &worker = it->second;
-    const bool isNewLife = !isNew && info.bornAtMs != worker.info.bornAtMs;
+    const bool isNewLife = !isNew && info.startedAtUnixMs != worker.info.startedAtUnixMs;
     // A heartbeat that was delayed on the way says nothing about now.
     if (!isNew
-        && (info.bornAtMs < worker.info.bornAtMs
+        && (info.startedAtUnixMs < worker.info.startedAtUnixMs
             || (!isNewLife && info.sequence < worker.info.sequence)))
         return;
     if (isNew || isNewLife) {
@@ -84,7 +84,7 @@
                                    {"upstream", info.upstream},
                                    {"address", info.address},
                                    {"cpu", std::to_string(info.capacity.cpuMillis)},
-                                   {"born_ms", std::to_string(info.bornAtMs)}}});
+                                   {"born_ms", std::to_string(info.startedAtUnixMs)}}});
     }
     WorkerInfo previous = std::exchange(worker.info, info);
     worker.heardAt = now;
@@ -191,7 +191,7 @@
     // A new process at the entry's instance: the one before it is gone, and so are its callers.
     for (auto &[id, other] : m_entries)
         if (other.name == name && id != entry)
-            other.heardAt = std::min(other.heardAt, now - m_settings.entrySilence - Duration(1));
+            other.heardAt = std::min(other.heardAt, now - m_settings.entryTimeout - Duration(1));
     Entry &it = m_entries[entry];
     it.name = name;
     it.heardAt = now;
@@ -216,7 +216,7 @@
     from->second.assignments = std::max(from->second.assignments, assignment.number);
     ++m_loadVersion;
     Worker *worker = findWorker(assignment.workerId);
-    if (now > assignment.startBy)
+    if (now > assignment.startDeadline)
         return refuse(entry, assignment, StartRefusal::Expired, assignment.workerId, out);
     if (!worker || m_shuttingDown)
         return refuse(entry, assignment, StartRefusal::NoWorker, assignment.workerId, out);
@@ -262,7 +262,7 @@
 
 // Time
 
-void TaskRunner::settle(TimePoint now, RunnerOutbox &out)
+void TaskRunner::processPending(TimePoint now, RunnerOutbox &out)
 {
     m_enteredAt = now;
     while (!m_ended.empty() && now - m_ended.front().at > EndedMemory)
@@ -318,7 +318,7 @@
         if (task.state == State::Queued) {
             if (isOrphaned)
                 refused.emplace_back(id, StartRefusal::Withdrawn);
-            else if (now > task.assignment.startBy)
+            else if (now > task.assignment.startDeadline)
                 refused.emplace_back(id, StartRefusal::Expired);
             else if (worker.info.isDraining)
                 refused.emplace_back(id, StartRefusal::Draining);
@@ -327,7 +327,7 @@
         } else if (task.state != State::Stopping) {
             if (isOrphaned)
                 stopTask(worker, task, "entry_silent", now, out);
-            else if (now > task.assignment.endBy)
+            else if (now > task.assignment.endDeadline)
                 stopTask(worker, task, "out_of_time", now, out);
             else if (now >= task.retryAt && task.startCalls >= MaxStartCalls)
                 stopTask(worker, task, "start_unanswered", now, out);
@@ -371,9 +371,9 @@
             const auto entry = m_entries.find(task.entry);
             if (entry != m_entries.end())
                 next
-                    = std::min(next, entry->second.heardAt + m_settings.entrySilence + Duration(1));
-            next = std::min(next, (task.state == State::Queued ? task.assignment.startBy
-                                                               : task.assignment.endBy)
+                    = std::min(next, entry->second.heardAt + m_settings.entryTimeout + Duration(1));
+            next = std::min(next, (task.state == State::Queued ? task.assignment.startDeadline
+                                                               : task.assignment.endDeadline)
                                       + Duration(1));
             if (task.state == State::Queued && worker.unhealthyUntil > worker.clockAt)
                 next = std::min(next, worker.unhealthyUntil);
--- a/src/taskrunner.h
+++ b/src/taskrunner.h
@@ -2,7 +2,7 @@
 // urgency, starts and stops them, and learns their ends.
 //
 // Safety rests on three bounds. A task runs only while the entry that assigned it is heard: silence
-// for `entrySilence` stops it. A start carries a deadline on the worker's clock, so one that is
+// for `entryTimeout` stops it. A start carries a deadline on the worker's clock, so one that is
 // carried out late is refused by the worker. The lease of all runs at a worker is renewed by this
 // process only, so they end by themselves if it dies.
 //
@@ -12,7 +12,7 @@
 
 #include "dispatchmessages.h"
 #include "outbox.h"
-#include "workermarks.h"
+#include "workerperformance.h"
 
 #include <cstdint>
 #include <deque>
@@ -54,7 +54,7 @@
 };
 
 // Renews the lease of all runs and asks what runs and what has ended.
-struct HoldRuns
+struct PollRuns
 {
     WorkerCallId call;
     std::string worker;
@@ -66,15 +66,15 @@
 };
 
 enum class StartAnswer {
-    Accepted,   // runs, or already ran under this attempt
-    NoRoom,     // refused for want of room
-    Late,       // refused for its deadline
-    OldAttempt, // refused: this or a later attempt was stopped or has ended there
-    Unhealthy,  // refused by an unhealthy worker, nothing was done
-    Invalid,    // refused as malformed
-    OtherLife,  // refused: another life of the worker answers at the address
-    NotSent,    // provably not delivered
-    NoAnswer,   // may have been carried out, or may be later
+    Accepted,     // runs, or already ran under this attempt
+    NoCapacity,   // refused for want of room
+    Late,         // refused for its deadline
+    OldAttempt,   // refused: this or a later attempt was stopped or has ended there
+    Unhealthy,    // refused by an unhealthy worker, nothing was done
+    Invalid,      // refused as malformed
+    OtherProcess, // refused: another life of the worker answers at the address
+    NotSent,      // provably not delivered
+    NoAnswer,     // may have been carried out, or may be later
 };
 
 struct StartReply
@@ -83,7 +83,7 @@
     std::optional<WorkerClock> clock;
 };
 
-enum class CallAnswer { Ok, OtherLife, NotSent, NoAnswer };
+enum class CallAnswer { Ok, OtherProcess, NotSent, NoAnswer };
 
 struct StopReply
 {
@@ -106,11 +106,11 @@
     TaskEnd end = TaskEnd::Lost;
 };
 
-struct HoldReply
+struct PollReply
 {
     CallAnswer answer = CallAnswer::NoAnswer;
     WorkerClock clock;
-    std::int64_t bornAtMs = 0; // 0 if the worker does not say
+    std::int64_t startedAtUnixMs = 0; // 0 if the worker does not say
     std::vector<ActiveRun> active;
     std::vector<EndedRun> ended; // may be a part of the list
 };
@@ -121,7 +121,7 @@
     PeerMessage message;
 };
 
-using RunnerEffect = std::variant<StartRun, StopRun, HoldRuns, SendToEntry, LogEvent>;
+using RunnerEffect = std::variant<StartRun, StopRun, PollRuns, SendToEntry, LogEvent>;
 using RunnerOutbox = std::vector<RunnerEffect>;
 
 // An agent may be suspended just before it notices that an entry is silent; its runs then last for
@@ -130,7 +130,7 @@
 struct TaskRunnerSettings
 {
     Duration leaseTime = std::chrono::milliseconds(600);    // of all runs at a worker
-    Duration entrySilence = std::chrono::milliseconds(500); // then its tasks are stopped
+    Duration entryTimeout = std::chrono::milliseconds(500); // then its tasks are stopped
     // A worker carries a start out by then or refuses it. Longer than the repeats of an unanswered
     // start take, shorter than the pause after which a caller repeats a lost job.
     Duration startWindow = std::chrono::milliseconds(250);
@@ -142,11 +142,11 @@
     TaskRunner(TaskRunnerSettings settings, TimePoint startedAt);
 
     // Workers
-    void onWorker(const WorkerInfo &info, TimePoint now, RunnerOutbox &out);
+    void onWorkerInfo(const WorkerInfo &info, TimePoint now, RunnerOutbox &out);
     void onWorkerLeft(std::string_view workerId, TimePoint now, RunnerOutbox &out);
     void onStartReply(WorkerCallId call, const StartReply &reply, TimePoint now, RunnerOutbox &out);
     void onStopReply(WorkerCallId call, const StopReply &reply, TimePoint now, RunnerOutbox &out);
-    void onHoldReply(WorkerCallId call, const HoldReply &reply, TimePoint now, RunnerOutbox &out);
+    void onPollReply(WorkerCallId call, const PollReply &reply, TimePoint now, RunnerOutbox &out);
 
     // Entries
     void onEntryHello(Incarnation entry, std::string_view name, TimePoint now, RunnerOutbox &out);
@@ -157,7 +157,7 @@
 
     // Stops what has expired, starts what has room, looks after the workers. To be called after
     // inputs, once for several, and at nextTimer().
-    void settle(TimePoint now, RunnerOutbox &out);
+    void processPending(TimePoint now, RunnerOutbox &out);
     // No new tasks from now on; what runs goes on.
     void beginShutdown(RunnerOutbox &out);
 
@@ -165,13 +165,13 @@
     TimePoint nextTimer() const;
     TaskInventory inventoryOf(Incarnation entry) const;
     // Workers at which nothing runs that an earlier process of this agent started.
-    std::vector<std::string> clearWorkers() const;
+    std::vector<std::string> orphanFreeWorkers() const;
     std::vector<WorkerUpdate> workers() const;
-    std::vector<WorkerLoad> loads(TimePoint now) const;         // without the number of assignments
-    std::uint64_t assignmentsOf(Incarnation entry) const;       // the newest number
-    std::uint64_t loadVersion() const { return m_loadVersion; } // changes with loads()
-    bool isNearlyFull() const;                                  // some worker has little room left
-    std::size_t openTasks() const;                              // queued, running or being stopped
+    std::vector<WorkerLoad> loads(TimePoint now) const; // without the number of assignments
+    std::uint64_t lastAssignmentNumberOf(Incarnation entry) const; // the newest number
+    std::uint64_t loadVersion() const { return m_loadVersion; }    // changes with loads()
+    bool isNearlyFull() const;     // some worker has little room left
+    std::size_t openTasks() const; // queued, running or being stopped
     std::size_t openTasksOf(Incarnation entry) const;
 
 private:
@@ -232,7 +232,7 @@
         TimePoint unhealthyUntil{};
         std::map<TaskId, Task> tasks;
         std::vector<Orphan> orphans;
-        WorkerMarks marks;
+        WorkerPerformance marks;
         TimePoint badToldAt{}; // when a load was sent for the sake of bad marks
     };
 
@@ -276,7 +276,7 @@
     void markRunning(Worker &worker, Task &task, TimePoint now, RunnerOutbox &out);
     // `askedAt` is when the call was sent: the lists may be older than anything that happened
     // since.
-    void applyLists(Worker &worker, const HoldReply &reply, TimePoint askedAt, TimePoint now,
+    void applyLists(Worker &worker, const PollReply &reply, TimePoint askedAt, TimePoint now,
                     RunnerOutbox &out);
     void measureProgress(Worker &worker, TimePoint now, RunnerOutbox &out);
     void hear(Worker &worker, WorkerClock clock, TimePoint now);
--- a/src/taskrunnercalls.cpp
+++ b/src/taskrunnercalls.cpp
@@ -61,7 +61,7 @@
                                          TimePoint now, RunnerOutbox &out)
 {
     enter(now, out);
-    const bool isOtherLife = reply.answer == decltype(reply.answer)::OtherLife;
+    const bool isOtherLife = reply.answer == decltype(reply.answer)::OtherProcess;
     Worker *worker = endCall(call, isOtherLife, about, now, out);
     if (worker && reply.clock)
         hear(*worker, *reply.clock, now);
@@ -165,7 +165,7 @@
 // Ties go to the one that arrived first.
 std::pair<TimePoint, std::uint64_t> TaskRunner::orderOf(const Task &task)
 {
-    return {task.assignment.orderBy, task.arrival};
+    return {task.assignment.schedulingKey, task.arrival};
 }
 
 void TaskRunner::startQueued(Worker &worker, TimePoint now, RunnerOutbox &out)
@@ -273,7 +273,7 @@
 void TaskRunner::sendHold(Worker &worker, TimePoint now, RunnerOutbox &out)
 {
     const bool isBusy = !worker.tasks.empty() || !worker.orphans.empty();
-    HoldRuns hold;
+    PollRuns hold;
     hold.call = worker.hold = newCall({worker.info.id, {}, 0, now});
     hold.worker = worker.info.id;
     hold.address = worker.info.address;
@@ -295,12 +295,12 @@
     out.emplace_back(std::move(hold));
 }
 
-void TaskRunner::onHoldReply(WorkerCallId call, const HoldReply &reply, TimePoint now,
+void TaskRunner::onPollReply(WorkerCallId call, const PollReply &reply, TimePoint now,
                              RunnerOutbox &out)
 {
     enter(now, out);
     OpenCall about;
-    Worker *worker = endCall(call, reply.answer == CallAnswer::OtherLife, about, now, out);
+    Worker *worker = endCall(call, reply.answer == CallAnswer::OtherProcess, about, now, out);
     if (!worker)
         return;
     const bool isNewest = worker->hold == call;
@@ -314,7 +314,7 @@
         return;
     }
     // The worker restarted under its id; its heartbeat with the new birth follows.
-    if (reply.bornAtMs != 0 && reply.bornAtMs != worker->info.bornAtMs)
+    if (reply.startedAtUnixMs != 0 && reply.startedAtUnixMs != worker->info.startedAtUnixMs)
         return onWorkerLeft(std::string(worker->info.id), now, out);
     if (std::exchange(worker->isUnresponsive, false)) {
         out.emplace_back(
@@ -333,7 +333,7 @@
         applyLists(*worker, reply, about.sentAt, now, out);
 }
 
-void TaskRunner::applyLists(Worker &worker, const HoldReply &reply, TimePoint askedAt,
+void TaskRunner::applyLists(Worker &worker, const PollReply &reply, TimePoint askedAt,
                             TimePoint now, RunnerOutbox &out)
 {
     const bool wasClean = worker.orphans.empty();
@@ -413,7 +413,7 @@
             continue;
         const Duration elapsed = now - task.startedAt;
         const Duration remaining = elapsed * (100 - task.percent) / std::max(task.percent, 1);
-        if (elapsed < MinElapsed || now + remaining <= task.assignment.finishBy)
+        if (elapsed < MinElapsed || now + remaining <= task.assignment.objectiveTime)
             continue;
         task.isLateTold = true;
         out.emplace_back(SendToEntry{task.entry, TaskLate{id, task.assignment.attempt, remaining}});
--- a/src/taskrunnerqueries.cpp
+++ b/src/taskrunnerqueries.cpp
@@ -13,7 +13,7 @@
 constexpr double NearlyFull = 0.7; // of the processor
 
 // In a steady state a running task ends within a time t with probability t / run time.
-double freeingRate(const AssignTask &task)
+double coreReleaseRate(const AssignTask &task)
 {
     const double cores = static_cast<double>(task.needs.cpuMillis) / 1000;
     return cores / std::max(toMs(task.expectedRun), 1.0);
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::vector<std::string> TaskRunner::clearWorkers() const
+std::vector<std::string> TaskRunner::orphanFreeWorkers() const
 {
     std::vector<std::string> clear;
     for (const auto &[id, worker] : m_workers)
@@ -33,7 +33,7 @@
 TaskInventory TaskRunner::inventoryOf(Incarnation entry) const
 {
     TaskInventory inventory;
-    inventory.clearWorkers = clearWorkers();
+    inventory.orphanFreeWorkers = orphanFreeWorkers();
     for (const auto &[workerId, worker] : m_workers)
         for (const auto &[id, task] : worker.tasks) {
             if (task.entry != entry)
@@ -55,7 +55,7 @@
     return updates;
 }
 
-std::uint64_t TaskRunner::assignmentsOf(Incarnation entry) const
+std::uint64_t TaskRunner::lastAssignmentNumberOf(Incarnation entry) const
 {
     const auto from = m_entries.find(entry);
     return from == m_entries.end() ? 0 : from->second.assignments;
@@ -75,13 +75,13 @@
             if (task.state == State::Queued)
                 queued[task.assignment.priority] += task.assignment.needs;
             else
-                load.freeingRate += freeingRate(task.assignment);
+                load.coreReleaseRate += coreReleaseRate(task.assignment);
         }
         for (const auto &[priority, needs] : queued)
             load.queued.push_back({priority, needs});
-        load.freeingRate /= std::max(1.0, worker.marks.meanSlowness());
+        load.coreReleaseRate /= std::max(1.0, worker.marks.meanSlowness());
         load.slowness = worker.marks.slowness(now);
-        load.failureShare = worker.marks.failureShare(now);
+        load.failureRate = worker.marks.failureRate(now);
         loads.push_back(std::move(load));
     }
     return loads;
--- a/src/types.h
+++ b/src/types.h
@@ -66,11 +66,11 @@
     bool operator==(const TraceContext &) const = default;
 };
 
-struct TaskNeeds
+struct TaskResources
 {
     std::uint32_t accelerators = 0;
     std::uint32_t memoryMb = 0;
-    bool operator==(const TaskNeeds &) const = default;
+    bool operator==(const TaskResources &) const = default;
 };
 
 struct TaskSpec
@@ -78,7 +78,7 @@
     std::string id;
     std::string payload; // passed to the upstream unchanged
     Duration declared{}; // the caller's estimate, a hint only
-    TaskNeeds needs;
+    TaskResources needs;
     bool operator==(const TaskSpec &) const = default;
 };
 
@@ -150,18 +150,18 @@
 };
 
 // Load of one agent as it saw it itself; rides on every envelope.
-struct LoadDigest
+struct LoadReport
 {
     Incarnation agent;
     std::string upstream; // name of the upstream beside it; empty without one
     std::uint32_t freeSlots = 0;
     std::uint32_t slots = 0;
     std::uint32_t queued = 0;
-    TaskNeeds capacity; // what a single task may need here
+    TaskResources capacity; // what a single task may need here
     bool draining = false;
     Duration age{};                   // since the agent observed it, at the time of sending
     std::uint32_t failurePercent = 0; // of the newest results of its upstream
-    bool operator==(const LoadDigest &) const = default;
+    bool operator==(const LoadReport &) const = default;
 };
 
 } // namespace cactuscove
--- a/src/upstreamregistry.h
+++ b/src/upstreamregistry.h
@@ -19,7 +19,7 @@
     std::string address;     // "ip:port"
     std::uint32_t slots = 0;
     std::uint32_t connections = 0;
-    TaskNeeds capacity;
+    TaskResources capacity;
     Duration lease{}; // the announcement lapses unless repeated within this time
 };
 
--- a/src/workerdirectory.cpp
+++ b/src/workerdirectory.cpp
@@ -115,7 +115,7 @@
 Resources WorkerDirectory::freeOf(const Worker &worker, int priority)
 {
     Resources free = worker.load.free;
-    for (const QueuedRoom &it : worker.load.queued)
+    for (const QueuedDemand &it : worker.load.queued)
         if (it.priority <= priority)
             free -= it.needs;
     for (const auto &[number, it] : worker.sent)
@@ -132,10 +132,10 @@
     // Only the processor is given back at a rate that is known.
     const bool fitsOtherwise = request.needs.memoryMb <= free.memoryMb
                                && request.needs.accelerators <= free.accelerators;
-    if (!fitsOtherwise || worker.load.freeingRate <= 0)
+    if (!fitsOtherwise || worker.load.coreReleaseRate <= 0)
         return std::numeric_limits<double>::infinity();
     const auto missing = static_cast<double>(request.needs.cpuMillis - free.cpuMillis);
-    return missing / 1000 / worker.load.freeingRate;
+    return missing / 1000 / worker.load.coreReleaseRate;
 }
 
 WorkerDirectory::Limits WorkerDirectory::limitsOf(std::string_view upstream, double slowness) const
@@ -144,7 +144,7 @@
     std::size_t known = 0; // of the upstream
     std::size_t slow = 0;
     for (const auto &[key, worker] : m_workers) {
-        failures += worker.load.failureShare;
+        failures += worker.load.failureRate;
         if (worker.info.upstream != upstream || !worker.hasLoad)
             continue;
         ++known;
@@ -174,7 +174,7 @@
             continue;
         if (!request.requiredLabel.empty() && !hasLabel(worker.info, request.requiredLabel))
             continue;
-        if (worker.load.failureShare > limits.failureShare)
+        if (worker.load.failureRate > limits.failureRate)
             continue;
         const double slowness = std::max(worker.load.slowness, SmallestSlowness);
         if (slowness > limits.slowness)
@@ -238,7 +238,7 @@
     std::int64_t freeMillis = 0;
     for (const auto &[key, worker] : m_workers) {
         if (worker.info.upstream != upstream || !isUsable(key, worker, now)
-            || worker.load.failureShare > limits.failureShare
+            || worker.load.failureRate > limits.failureRate
             || worker.load.slowness > limits.slowness)
             continue;
         room.capacity += worker.info.capacity;
--- a/src/workerdirectory.h
+++ b/src/workerdirectory.h
@@ -84,7 +84,7 @@
         WorkerInfo info;
         WorkerLoad load;
         bool hasLoad = false;
-        std::map<std::uint64_t, QueuedRoom> sent; // by number; not yet in `load`
+        std::map<std::uint64_t, QueuedDemand> sent; // by number; not yet in `load`
         TimePoint pausedUntil{};
     };
 
@@ -96,7 +96,7 @@
     // Worse workers are left out.
     struct Limits
     {
-        double failureShare = 0;
+        double failureRate = 0;
         double slowness = 0;
     };
     // Where half of the workers are slower than `slowness`, the expected run times are wrong and
--- a/src/workermarks.cpp
+++ b/src/workerperformance.cpp
@@ -1,6 +1,6 @@
 // Exponentially weighted means that return to good marks with time.
 
-#include "workermarks.h"
+#include "workerperformance.h"
 
 #include "durations.h"
 
@@ -41,15 +41,15 @@
 
 } // namespace
 
-void WorkerMarks::fade(TimePoint now)
+void WorkerPerformance::fade(TimePoint now)
 {
     m_slowness = fadedSlowness(m_slowness, now - m_judgedAt);
     m_failureShare *= decay(now - m_judgedAt, FailureMemoryMs);
     m_judgedAt = now;
 }
 
-void WorkerMarks::ended(const TaskId &task, TaskEnd end, Duration runTime, Duration expectedRun,
-                        TimePoint now)
+void WorkerPerformance::ended(const TaskId &task, TaskEnd end, Duration runTime,
+                              Duration expectedRun, TimePoint now)
 {
     fade(now);
     if (end == TaskEnd::Done && expectedRun > Duration{}) {
@@ -68,7 +68,7 @@
 // Tells a slow worker from long tasks. Long ones make up more of what runs at a moment than of what
 // is started, and the tasks of a job are long together. So each job counts once, and half of the
 // jobs must be slow.
-void WorkerMarks::progressed(std::span<const RunProgress> runs, TimePoint now)
+void WorkerPerformance::progressed(std::span<const RunProgress> runs, TimePoint now)
 {
     struct Sum
     {
@@ -101,17 +101,17 @@
     m_slowness = std::max(m_slowness, *typical);
 }
 
-bool WorkerMarks::isBad() const
+bool WorkerPerformance::isBad() const
 {
     return m_slowness > BadSlowness || m_failureShare > BadFailureShare;
 }
 
-double WorkerMarks::slowness(TimePoint now) const
+double WorkerPerformance::slowness(TimePoint now) const
 {
     return std::max(fadedSlowness(m_slowness, now - m_judgedAt), m_runningSlowness);
 }
 
-double WorkerMarks::failureShare(TimePoint now) const
+double WorkerPerformance::failureRate(TimePoint now) const
 {
     return m_failureShare * decay(now - m_judgedAt, FailureMemoryMs);
 }
--- a/src/workermarks.h
+++ b/src/workerperformance.h
@@ -22,7 +22,7 @@
     int percent = 0;     // of its work, rounded down
 };
 
-class WorkerMarks
+class WorkerPerformance
 {
 public:
     // Commands
@@ -37,7 +37,7 @@
     double runningSlowness() const { return m_runningSlowness; }
     double meanSlowness() const { return m_slowness; }
     double slowness(TimePoint now) const; // times the expected run time
-    double failureShare(TimePoint now) const;
+    double failureRate(TimePoint now) const;
 
 private:
     double m_slowness = 1; // mean of the newest ends
--- a/tests/dispatchcodec_test.cpp
+++ b/tests/dispatchcodec_test.cpp
@@ -23,20 +23,20 @@
     assign.needs = {3100, 64, 1};
     assign.priority = 2;
     assign.expectedRun = 60ms;
-    assign.startBy = TimePoint(1h);
+    assign.startDeadline = TimePoint(1h);
     assign.number = 77;
     WorkerLoad load;
     load.workerId = "w1";
     load.free = {-5, 1, 0};
     load.queued = {{0, {3100, 64, 0}}, {2, {1, 2, 3}}};
-    load.freeingRate = 0.5;
+    load.coreReleaseRate = 0.5;
     load.isUsable = true;
     TaskInventory inventory;
     inventory.started = {{{"a", 1}, 2}};
     inventory.ended = {{{"b", 0}, 1, TaskEnd::Failed, 5ms}};
-    inventory.clearWorkers = {"w1"};
+    inventory.orphanFreeWorkers = {"w1"};
     return {PeerHello{"name", Incarnation{9}, Role::Entry, "dc", "1.2.3.4:5"},
-            PeerBeat{TimePoint(2h), 3},
+            PeerHeartbeat{TimePoint(2h), 3},
             KnownEntries{{"1.2.3.4:5"}},
             assign,
             WithdrawTask{{"5c0e", 3}, 2},
@@ -61,7 +61,7 @@
     EXPECT_EQ(encodeFrame(valueOf(decoded)), frame);
     const auto &assign = std::get<AssignTask>(valueOf(decoded)[3]);
     EXPECT_EQ(assign.payload, std::string("\0\xff payload", 10));
-    EXPECT_EQ(assign.startBy, TimePoint(1h));
+    EXPECT_EQ(assign.startDeadline, TimePoint(1h));
     EXPECT_EQ(std::get<WorkerLoad>(valueOf(decoded)[5]).free.cpuMillis, -5);
 }
 
--- a/tests/dispatchfleet.cpp
+++ b/tests/dispatchfleet.cpp
@@ -210,7 +210,7 @@
         it.frozenUntil = now;
         DispatcherSettings settings;
         settings.seed = options.seed * 100 + i;
-        settings.proofTime = options.proofTime.value_or(settings.proofTime);
+        settings.lostAgentTimeout = options.lostAgentTimeout.value_or(settings.lostAgentTimeout);
         it.dispatcher = std::make_unique<JobDispatcher>(settings, now);
         DispatcherOutbox out;
         it.dispatcher->configure(config, out);
@@ -222,7 +222,7 @@
         input(entries[i], [this, i, f] {
             DispatcherOutbox out;
             f(*entries[i].dispatcher, out);
-            entries[i].dispatcher->settle(now, out);
+            entries[i].dispatcher->processPending(now, out);
             perform(i, out);
         });
     }
@@ -275,7 +275,7 @@
         input(agents[i], [this, i, f] {
             RunnerOutbox out;
             f(*agents[i].runner, out);
-            agents[i].runner->settle(now, out);
+            agents[i].runner->processPending(now, out);
             perform(i, out);
         });
     }
@@ -289,7 +289,7 @@
                 callWorker(i, *start);
             else if (auto *stop = std::get_if<StopRun>(&effect))
                 callWorker(i, *stop);
-            else if (auto *hold = std::get_if<HoldRuns>(&effect))
+            else if (auto *hold = std::get_if<PollRuns>(&effect))
                 callWorker(i, *hold);
             else if (auto *event = std::get_if<LogEvent>(&effect))
                 trace("agent" + std::to_string(i), *event);
@@ -319,7 +319,7 @@
             return;
         const TaskRunner &runner = *agents[agent].runner;
         for (WorkerLoad &load : runner.loads(now)) {
-            load.assignments = runner.assignmentsOf(entryId(entry));
+            load.assignments = runner.lastAssignmentNumberOf(entryId(entry));
             sendToEntry(agent, entryId(entry), std::move(load));
         }
     }
@@ -400,12 +400,12 @@
         link.agentHeard = link.entryHeard = now;
         const PeerHello hello{"agent" + std::to_string(a), agentId(a), Role::Agent, "", ""};
         stepEntry(e, [this, hello](JobDispatcher &dispatcher, DispatcherOutbox &out) {
-            dispatcher.onConnected(hello, now, out);
+            dispatcher.onAgentConnected(hello, now, out);
         });
         const Incarnation entry = entryId(e);
         stepAgent(a, [this, e, a, entry](TaskRunner &runner, RunnerOutbox &out) {
             runner.onEntryHello(entry, "entry" + std::to_string(e), now, out);
-            sendToEntry(a, entry, PeerBeat{now, linksOf(a)});
+            sendToEntry(a, entry, PeerHeartbeat{now, linksOf(a)});
             sendToEntry(a, entry, runner.inventoryOf(entry));
             for (const WorkerUpdate &update : runner.workers())
                 sendToEntry(a, entry, update);
@@ -423,7 +423,7 @@
         ++link.generation;
         const Incarnation agent = agentId(a);
         stepEntry(e, [this, agent](JobDispatcher &dispatcher, DispatcherOutbox &out) {
-            dispatcher.onDisconnected(agent, now, out);
+            dispatcher.onAgentDisconnected(agent, now, out);
         });
     }
 
@@ -484,11 +484,11 @@
                 if (!link.isUp)
                     continue;
                 if (entries[e].isUp && entries[e].frozenUntil <= now)
-                    sendToAgent(e, agentId(a), PeerBeat{now, 0});
+                    sendToAgent(e, agentId(a), PeerHeartbeat{now, 0});
                 if (agents[a].isUp && agents[a].frozenUntil <= now) {
                     if (now - agents[a].startedAt < 5s)
                         sendToEntry(a, entryId(e), agents[a].runner->inventoryOf(entryId(e)));
-                    sendToEntry(a, entryId(e), PeerBeat{now, linksOf(a)});
+                    sendToEntry(a, entryId(e), PeerHeartbeat{now, linksOf(a)});
                 }
             }
         post(now + BeatPause, [this] { planBeats(); });
@@ -509,10 +509,10 @@
         info.upstream = "upstream";
         info.address = "worker";
         info.capacity = it.capacity;
-        info.bornAtMs = static_cast<std::int64_t>(toMs(it.bornAt.time_since_epoch()));
+        info.startedAtUnixMs = static_cast<std::int64_t>(toMs(it.bornAt.time_since_epoch()));
         info.sequence = ++it.sequence;
         stepAgent(i, [this, info](TaskRunner &runner, RunnerOutbox &out) {
-            runner.onWorker(info, now, out);
+            runner.onWorkerInfo(info, now, out);
         });
     }
 
@@ -555,14 +555,14 @@
         if (agents[i].life != agentLife)
             return;
         stepAgent(i, [this, order](TaskRunner &runner, RunnerOutbox &out) {
-            HoldReply hold;
+            PollReply hold;
             hold.answer = CallAnswer::NotSent;
             if constexpr (std::is_same_v<Order, StartRun>)
                 runner.onStartReply(order.call, {StartAnswer::NotSent, std::nullopt}, now, out);
             else if constexpr (std::is_same_v<Order, StopRun>)
                 runner.onStopReply(order.call, {CallAnswer::NotSent, std::nullopt}, now, out);
             else
-                runner.onHoldReply(order.call, hold, now, out);
+                runner.onPollReply(order.call, hold, now, out);
         });
     }
 
@@ -577,7 +577,7 @@
             else if constexpr (std::is_same_v<Order, StopRun>)
                 runner.onStopReply(order.call, {}, now, out);
             else
-                runner.onHoldReply(order.call, {}, now, out);
+                runner.onPollReply(order.call, {}, now, out);
         });
     }
 
@@ -597,7 +597,7 @@
                 else if constexpr (std::is_same_v<Order, StopRun>)
                     runner.onStopReply(order.call, answer, now, out);
                 else
-                    runner.onHoldReply(order.call, answer, now, out);
+                    runner.onPollReply(order.call, answer, now, out);
             });
         });
     }
@@ -605,20 +605,20 @@
     StartReply answerOf(Worker &it, const StartRun &order, bool isOtherLife)
     {
         if (isOtherLife)
-            return {StartAnswer::OtherLife, std::nullopt};
+            return {StartAnswer::OtherProcess, std::nullopt};
         return {startAnswers[order.call.value + 1000000 * static_cast<std::uint64_t>(it.index)],
                 clockOf(it)};
     }
 
     StopReply answerOf(Worker &it, const StopRun &, bool isOtherLife) const
     {
-        return {isOtherLife ? CallAnswer::OtherLife : CallAnswer::Ok, clockOf(it)};
+        return {isOtherLife ? CallAnswer::OtherProcess : CallAnswer::Ok, clockOf(it)};
     }
 
-    HoldReply answerOf(Worker &it, const HoldRuns &, bool isOtherLife)
+    PollReply answerOf(Worker &it, const PollRuns &, bool isOtherLife)
     {
-        HoldReply out;
-        out.answer = isOtherLife ? CallAnswer::OtherLife : CallAnswer::Ok;
+        PollReply out;
+        out.answer = isOtherLife ? CallAnswer::OtherProcess : CallAnswer::Ok;
         if (isOtherLife)
             return out;
         out.clock = clockOf(it);
@@ -734,7 +734,7 @@
         done();
     }
 
-    void carryOut(Worker &it, const HoldRuns &order, const std::function<void()> &done)
+    void carryOut(Worker &it, const PollRuns &order, const std::function<void()> &done)
     {
         std::erase_if(it.ended,
                       [&](const EndedRun &end) { return end.number <= order.acknowledged; });
@@ -882,7 +882,7 @@
             jobs[number].caller = 0;
             if (entries[e].life == life)
                 stepEntry(e, [this, caller](JobDispatcher &dispatcher, DispatcherOutbox &out) {
-                    dispatcher.callerGone(CallerId{caller}, now, out);
+                    dispatcher.callerDisconnected(CallerId{caller}, now, out);
                 });
             post(now + ResubmitPause, [this, number] { sendJob(number); });
         });
--- a/tests/dispatchfleet.h
+++ b/tests/dispatchfleet.h
@@ -49,7 +49,7 @@
     bool refusesWhenDown = false; // a worker that is down refuses connections, else it is silent
     double failures = 0.002;
     TaskRunnerSettings runner;
-    std::optional<Duration> proofTime; // of the entries; none: their own
+    std::optional<Duration> lostAgentTimeout; // of the entries; none: their own
     std::uint64_t seed = 1;
 };
 
--- a/tests/dispatchfleet_test.cpp
+++ b/tests/dispatchfleet_test.cpp
@@ -262,11 +262,11 @@
 INSTANTIATE_TEST_SUITE_P(
     All, BoundOfThePromise,
     testing::Values(
-        Bound{"SilenceOfAnEntry", 0, [](DispatchFleetOptions &it) { it.runner.entrySilence = 1h; }},
+        Bound{"SilenceOfAnEntry", 0, [](DispatchFleetOptions &it) { it.runner.entryTimeout = 1h; }},
         Bound{"LeaseOfARun", 0.08, [](DispatchFleetOptions &it) { it.runner.leaseTime = 1h; }},
         Bound{"DeadlineOfAStart", 0.4,
               [](DispatchFleetOptions &it) { it.checksDeadlines = false; }},
-        Bound{"TimeOfProof", 0, [](DispatchFleetOptions &it) { it.proofTime = 0s; }}),
+        Bound{"TimeOfProof", 0, [](DispatchFleetOptions &it) { it.lostAgentTimeout = 0s; }}),
     [](const auto &it) { return it.param.name; });
 
 // The load of the large fleet. Each entry is connected to a part of the agents, each agent to some
--- a/tests/entrynode_test.cpp
+++ b/tests/entrynode_test.cpp
@@ -88,7 +88,7 @@
     ASSERT_EQ(answers.size(), 1u);
     EXPECT_EQ(answers[0].caller, CallerId{1});
     EXPECT_EQ(std::get<Answer>(answers[0].reply), completed());
-    EXPECT_EQ(m_node.rememberedKeys(), 1u);
+    EXPECT_EQ(m_node.rememberedKeyCount(), 1u);
 }
 
 // An entry that forwards before its own registration is in the ledger is missing from the witness
@@ -100,7 +100,7 @@
     append(ClaimRecord{Agent, {{shardOf(JobKey{"team/j"}), {1}}}, false});
     m_node.submit({1}, job("j"), {}, m_now + 30s, m_now, m_out);
     EXPECT_TRUE(sentOf<SubmitJob>(advance(1500ms)).empty());
-    EXPECT_EQ(m_node.rememberedKeys(), 0u);
+    EXPECT_EQ(m_node.rememberedKeyCount(), 0u);
     append(RegisterRecord{member(Self.value, Role::Entry)});
     EXPECT_EQ(sentOf<SubmitJob>(settle()).size(), 1u);
 }
--- a/tests/entryselection_test.cpp
+++ b/tests/entryselection_test.cpp
@@ -140,7 +140,7 @@
         connectAll(selection, Start + at, {only});
     const TimePoint now = Start + 5s;
     if (selection.plan(now).dial.empty())
-        selection.heardOf(only, now);
+        selection.reportedAlive(only, now);
     EXPECT_EQ(selection.plan(now).dial, std::vector{only});
 }
 
--- a/tests/jobrouter_test.cpp
+++ b/tests/jobrouter_test.cpp
@@ -126,7 +126,7 @@
     EXPECT_EQ(witnessed(2), 1u);
     advance(70s);
     EXPECT_EQ(witnessed(3), 0u);
-    EXPECT_EQ(m_router.rememberedKeys(), 0u);
+    EXPECT_EQ(m_router.rememberedKeyCount(), 0u);
 }
 
 // A refused connection proves that the home never saw the key; keeping it would make the job
@@ -208,7 +208,7 @@
     EXPECT_TRUE(sentOf<SubmitJob>(submit(2)).empty()) << "one forward serves all callers";
     m_router.query({3}, Key, m_now + 30s, m_now, m_out);
     submit(4);
-    m_router.callerGone({2});
+    m_router.callerDisconnected({2});
     const auto answers = allOf<AnswerCaller>(receive(First, JobAnswer{Key, {1}, completed()}));
     ASSERT_EQ(answers.size(), 3u);
     for (const AnswerCaller &it : answers) {
@@ -222,11 +222,11 @@
 TEST_F(JobRouterTest, JobOfACallerThatHangsUpGoesOn)
 {
     submit(1);
-    m_router.callerGone({1});
+    m_router.callerDisconnected({1});
     EXPECT_EQ(sentOf<SubmitJob>(advance(1s)).size(), 1u);
     receive(First, JobAccepted{Key, {1}});
     EXPECT_TRUE(m_router.isIdle());
-    EXPECT_EQ(m_router.rememberedKeys(), 1u);
+    EXPECT_EQ(m_router.rememberedKeyCount(), 1u);
 }
 
 TEST_F(JobRouterTest, OtherContentUnderTheSameIdIsRefused)
@@ -316,7 +316,7 @@
     m_router.cancel({2}, Key, m_now + 5s, m_now, m_out);
     EXPECT_EQ(sentOf<CancelJob>(m_out.take()).size(), 1u);
     EXPECT_EQ(outcomesOf(receive(First, JobAnswer{Key, {1}, completed()})).size(), 1u);
-    EXPECT_EQ(m_router.rememberedKeys(), 0u) << "neither can start a job";
+    EXPECT_EQ(m_router.rememberedKeyCount(), 0u) << "neither can start a job";
 }
 
 // Without the heir's answer for the process that left, its keys would look new.
@@ -363,7 +363,7 @@
         }
         case 1:
             if (m_lastCaller > 0)
-                anyEntry().router.callerGone(
+                anyEntry().router.callerDisconnected(
                     {*rc::gen::inRange<std::uint64_t>(1, m_lastCaller + 1)});
             break;
         case 2:
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -234,7 +234,7 @@
     {
         Outbox out;
         m_fleet.entry(entry).beginShutdown(m_fleet.m_now, out);
-        EXPECT_TRUE(out.isEmpty() || m_fleet.entry(entry).rememberedKeys() == 0);
+        EXPECT_TRUE(out.isEmpty() || m_fleet.entry(entry).rememberedKeyCount() == 0);
     }
     std::size_t witnessedBy(Incarnation entry, Incarnation subject, const JobKey &key)
     {
--- a/tests/messagecodec_test.cpp
+++ b/tests/messagecodec_test.cpp
@@ -41,7 +41,7 @@
 // A member that is added to a structure and forgotten in the field list would be lost silently.
 static_assert(
     IsWhole<
-        TraceContext> && IsWhole<TaskNeeds> && IsWhole<TaskSpec> && IsWhole<JobSpec> && IsWhole<TaskResult> && IsWhole<TaskAnswer> && IsWhole<LoadDigest> && IsWhole<TaskRef> && IsWhole<ShardClaim>);
+        TraceContext> && IsWhole<TaskResources> && IsWhole<TaskSpec> && IsWhole<JobSpec> && IsWhole<TaskResult> && IsWhole<TaskAnswer> && IsWhole<LoadReport> && IsWhole<TaskRef> && IsWhole<ShardClaim>);
 static_assert(IsWhole<
                   FeedAck> && IsWhole<SubmitJob> && IsWhole<JobAccepted> && IsWhole<JobAnswer> && IsWhole<SubmitRefused> && IsWhole<CancelJob> && IsWhole<QueryJob> && IsWhole<JobNotFound> && IsWhole<StartTask> && IsWhole<TaskAccepted> && IsWhole<TaskBusy> && IsWhole<TaskRefused> && IsWhole<TaskDone> && IsWhole<TaskDoneAck> && IsWhole<CancelTask> && IsWhole<TaskNotStarted> && IsWhole<SlotOffer> && IsWhole<OfferDeclined> && IsWhole<Raise> && IsWhole<WitnessedTask> && IsWhole<WitnessedJob> && IsWhole<Witness> && IsWhole<TransferredJob> && IsWhole<TransferShard> && IsWhole<TransferAck> && IsWhole<AdoptedJob> && IsWhole<AdoptWitness> && IsWhole<AdoptAck>);
 static_assert(IsWhole<SnapshotRecord> && IsWhole<Envelope>);
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -45,7 +45,7 @@
         , api(loop, incarnation, ledger,
               {[] { return true; }, [this] { return log.isReachable(); },
                [] {
-                   return std::vector<LoadDigest>{{Incarnation{9}, "walk-desk", 3, 8}};
+                   return std::vector<LoadReport>{{Incarnation{9}, "walk-desk", 3, 8}};
                },
                [this](Record record) { log.append(std::move(record)); },
                [this](const std::string &appendId) { return log.withdraw(appendId); },
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -12,9 +12,9 @@
 
 constexpr char Upstream[] = "walk-desk";
 
-LoadDigest digest(std::uint64_t agent, std::uint32_t freeSlots, std::uint32_t queued = 0)
+LoadReport digest(std::uint64_t agent, std::uint32_t freeSlots, std::uint32_t queued = 0)
 {
-    LoadDigest it;
+    LoadReport it;
     it.agent = Incarnation{agent};
     it.upstream = Upstream;
     it.freeSlots = freeSlots;
@@ -32,7 +32,7 @@
         placement.setAgent(Incarnation{agent}, dataCentre);
         placement.observe(digest(agent, freeSlots), now);
     }
-    std::optional<Incarnation> free(const TaskNeeds &needs = {})
+    std::optional<Incarnation> free(const TaskResources &needs = {})
     {
         return placement.chooseFree(Upstream, needs, now, {});
     }
@@ -63,7 +63,7 @@
 TEST_F(PlacementTest, OlderDigestIsIgnored)
 {
     add(1, "near", 0);
-    LoadDigest old = digest(1, 8);
+    LoadReport old = digest(1, 8);
     old.age = milliseconds(50);
     placement.observe(old, now + milliseconds(10));
     EXPECT_FALSE(free());
@@ -84,11 +84,11 @@
 {
     add(1, "near", 8);
     EXPECT_FALSE(free({2, 0}));
-    EXPECT_FALSE(placement.canRunSomewhere(Upstream, {2, 0}));
+    EXPECT_FALSE(placement.hasCapableAgent(Upstream, {2, 0}));
     placement.setWeight(Incarnation{1}, 0);
     EXPECT_FALSE(free());
     placement.setWeight(Incarnation{1}, 1);
-    LoadDigest draining = digest(1, 8);
+    LoadReport draining = digest(1, 8);
     draining.draining = true;
     placement.observe(draining, now);
     EXPECT_FALSE(free());
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -135,7 +135,7 @@
     EXPECT_TRUE(info.isDraining);
     EXPECT_EQ(info.capacity.cpuMillis, 16000);
     EXPECT_EQ(info.labels, (std::vector<std::string>{"a", "r1-3"}));
-    EXPECT_EQ(info.bornAtMs, 1788269136761);
+    EXPECT_EQ(info.startedAtUnixMs, 1788269136761);
 }
 
 // A heartbeat of another writer names no worker to use.
@@ -152,7 +152,7 @@
 
 TEST(PlatformWorkers, ListsOfRunsAreDecoded)
 {
-    const HoldReply hold = parseHoldReply(reply(
+    const PollReply hold = parsePollReply(reply(
         200, R"({"clock_ms":482113,"born":5,"active":[["5c0e.0.0.17",2,"",41,3]],)"
              R"("finished":[[58,"5c0e.0.0.9",1,"done",""],[59,"5c0e.0.0.8",3,"lapsed",""]]})"));
     ASSERT_EQ(hold.answer, CallAnswer::Ok);
@@ -170,17 +170,17 @@
 {
     for (const char *body : {"", "{}", R"({"clock_ms":1,"active":{},"finished":[]})",
                              R"({"clock_ms":1,"active":[[1]],"finished":[]})"})
-        EXPECT_EQ(parseHoldReply(reply(200, body)).answer, CallAnswer::NoAnswer) << body;
+        EXPECT_EQ(parsePollReply(reply(200, body)).answer, CallAnswer::NoAnswer) << body;
 }
 
 TEST(PlatformWorkers, RefusalsOfAStartAreToldApart)
 {
     EXPECT_EQ(parseStartReply(reply(200, R"({"clock_ms":1})")).answer, StartAnswer::Accepted);
     EXPECT_EQ(parseStartReply(reply(409, R"({"reason":"late"})")).answer, StartAnswer::Late);
-    EXPECT_EQ(parseStartReply(reply(409, R"({"reason":"room"})")).answer, StartAnswer::NoRoom);
+    EXPECT_EQ(parseStartReply(reply(409, R"({"reason":"room"})")).answer, StartAnswer::NoCapacity);
     EXPECT_EQ(parseStartReply(reply(409, R"({"reason":"old"})")).answer, StartAnswer::OldAttempt);
     EXPECT_EQ(parseStartReply(reply(503, "")).answer, StartAnswer::Unhealthy);
-    EXPECT_EQ(parseStartReply(reply(421, "")).answer, StartAnswer::OtherLife);
+    EXPECT_EQ(parseStartReply(reply(421, "")).answer, StartAnswer::OtherProcess);
     EXPECT_EQ(parseStartReply(reply(500, "")).answer, StartAnswer::NoAnswer);
     EXPECT_EQ(parseStartReply(HttpCallError{HttpFailure::TimedOut, ""}).answer,
               StartAnswer::NoAnswer);
--- a/tests/upstreamapi_test.cpp
+++ b/tests/upstreamapi_test.cpp
@@ -23,7 +23,7 @@
     EXPECT_EQ(it.address, "127.0.0.1:9000");
     EXPECT_EQ(it.slots, 8U);
     EXPECT_EQ(it.connections, 64U);
-    EXPECT_EQ(it.capacity, (TaskNeeds{0, 1024}));
+    EXPECT_EQ(it.capacity, (TaskResources{0, 1024}));
     EXPECT_EQ(it.lease, std::chrono::seconds(3));
 }
 
--- a/tests/upstreamclient_test.cpp
+++ b/tests/upstreamclient_test.cpp
@@ -83,7 +83,7 @@
         if (request.isFirstOnConnection)
             server->respond(id, {200, "booked"});
         else
-            server->drop(id);
+            server->closeWithoutResponse(id);
     };
     for (const char *task : {"t1", "t2", "t3"})
         run(task);
@@ -101,7 +101,7 @@
 
 TEST_F(UpstreamClientTest, ConnectionClosedAfterTheStartIsAFailure)
 {
-    answer = [this](RequestId id, const HttpRequest &) { server->drop(id); };
+    answer = [this](RequestId id, const HttpRequest &) { server->closeWithoutResponse(id); };
     EXPECT_EQ(run("t1").status, TaskStatus::Failed);
     EXPECT_EQ(arrived["/run"].size(), 1U);
 }
--- a/tests/virtualfleet.cpp
+++ b/tests/virtualfleet.cpp
@@ -260,7 +260,7 @@
     handle(reader, [this, isDown](Process &it, Outbox &out) {
         if (it.entry)
             it.entry->onLogReachable(!isDown, m_now);
-        if (isDown || (it.agent && !it.agent->needsLog(m_now)))
+        if (isDown || (it.agent && !it.agent->shouldReadLog(m_now)))
             return;
         const Ledger &ledger = it.agent ? it.agent->ledger() : it.entry->ledger();
         const auto from = static_cast<std::ptrdiff_t>(ledger.next().value);
@@ -270,7 +270,7 @@
             return it.agent->onLogRecords(records, next, m_now, out);
         it.entry->onLogReadStarted();
         it.entry->onLogRecords(records, next, m_now, out);
-        it.entry->onLogTipRead();
+        it.entry->onLogEndRead();
     });
     // Reads for records are triggered by appends; this one is the periodic poll.
     if (!process.hasPoll) {
--- a/tests/workerdirectory_test.cpp
+++ b/tests/workerdirectory_test.cpp
@@ -28,13 +28,13 @@
         }
     }
 
-    void report(const char *id, double failureShare, double slowness)
+    void report(const char *id, double failureRate, double slowness)
     {
         WorkerLoad load;
         load.workerId = id;
         load.free = {10000, 1000, 0};
         load.isUsable = true;
-        load.failureShare = failureShare;
+        load.failureRate = failureRate;
         load.slowness = slowness;
         m_directory.load(Agent, load);
     }
@@ -99,7 +99,7 @@
     load.workerId = "d";
     load.free = {10000, 1000, 0};
     load.isUsable = true;
-    load.failureShare = 0.3; // above the limit as long as the three others count
+    load.failureRate = 0.3; // above the limit as long as the three others count
     m_directory.load(Other, load);
     EXPECT_EQ(m_directory.roomOf("u", Now).freeCores, 30);
     m_directory.agentDisconnected(Agent);
--- a/tests/workerhealth_test.cpp
+++ b/tests/workerhealth_test.cpp
@@ -125,7 +125,7 @@
             budget.success();
             ++successes;
         } else {
-            retries += budget.tryRetry() ? 1 : 0;
+            retries += budget.trySpend() ? 1 : 0;
         }
         RC_ASSERT(retries * 10 <= successes);
     }
@@ -137,13 +137,13 @@
     RetryBudget budget = RetryBudget::create(0.1, 2);
     for (int i = 0; i < 10; ++i)
         budget.success();
-    EXPECT_TRUE(budget.tryRetry());
-    EXPECT_FALSE(budget.tryRetry());
+    EXPECT_TRUE(budget.trySpend());
+    EXPECT_FALSE(budget.trySpend());
     for (int i = 0; i < 1000; ++i)
         budget.success();
-    EXPECT_TRUE(budget.tryRetry());
-    EXPECT_TRUE(budget.tryRetry());
-    EXPECT_FALSE(budget.tryRetry());
+    EXPECT_TRUE(budget.trySpend());
+    EXPECT_TRUE(budget.trySpend());
+    EXPECT_FALSE(budget.trySpend());
 }
 
 } // namespace
--- a/tests/workermarks_test.cpp
+++ b/tests/workerperformance_test.cpp
@@ -1,6 +1,6 @@
 // Marks of workers: who is taken for slow or failing, and for how long.
 
-#include "workermarks.h"
+#include "workerperformance.h"
 
 #include <gtest/gtest.h>
 
@@ -30,7 +30,7 @@
     return all;
 }
 
-void endTasks(WorkerMarks &marks, int count, TaskEnd end, Duration runTime)
+void endTasks(WorkerPerformance &marks, int count, TaskEnd end, Duration runTime)
 {
     for (int i = 0; i < count; ++i)
         marks.ended(taskOf("job" + std::to_string(i)), end, runTime, 100ms, Start);
@@ -38,59 +38,59 @@
 
 } // namespace
 
-TEST(WorkerMarks, AWorkerThatKeepsToTheExpectedTimesIsGood)
+TEST(WorkerPerformance, AWorkerThatKeepsToTheExpectedTimesIsGood)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     endTasks(marks, 50, TaskEnd::Done, 110ms);
     EXPECT_FALSE(marks.isBad());
     EXPECT_LT(marks.slowness(Start), 1.2);
-    EXPECT_EQ(marks.failureShare(Start), 0);
+    EXPECT_EQ(marks.failureRate(Start), 0);
 }
 
 // Guards against a failing worker that draws the work because it looks idle.
-TEST(WorkerMarks, AFailingWorkerIsBadAfterFewFailures)
+TEST(WorkerPerformance, AFailingWorkerIsBadAfterFewFailures)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     endTasks(marks, 3, TaskEnd::Failed, 1ms);
     EXPECT_TRUE(marks.isBad());
-    EXPECT_GT(marks.failureShare(Start), 0.3);
+    EXPECT_GT(marks.failureRate(Start), 0.3);
 }
 
 // Guards against workers that lose their standing by one job that fails everywhere.
-TEST(WorkerMarks, ManyFailedTasksOfOneJobCountOnce)
+TEST(WorkerPerformance, ManyFailedTasksOfOneJobCountOnce)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     marks.ended(taskOf("job"), TaskEnd::Failed, 1ms, 100ms, Start);
-    const double once = marks.failureShare(Start);
+    const double once = marks.failureRate(Start);
     for (int i = 0; i < 20; ++i)
         marks.ended(taskOf("job"), TaskEnd::Failed, 1ms, 100ms, Start);
-    EXPECT_EQ(marks.failureShare(Start), once);
+    EXPECT_EQ(marks.failureRate(Start), once);
 }
 
 // Guards against a worker that is avoided for good after it has recovered.
-TEST(WorkerMarks, BadMarksFade)
+TEST(WorkerPerformance, BadMarksFade)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     endTasks(marks, 30, TaskEnd::Done, 500ms);
     endTasks(marks, 10, TaskEnd::Failed, 1ms);
     EXPECT_GT(marks.slowness(Start), 3);
     EXPECT_LT(marks.slowness(Start + 10s), 1.1);
-    EXPECT_LT(marks.failureShare(Start + 5s), 0.01);
+    EXPECT_LT(marks.failureRate(Start + 5s), 0.01);
 }
 
 // Guards against waiting for the end of tasks that stand still.
-TEST(WorkerMarks, TasksThatStandStillShowASlowWorker)
+TEST(WorkerPerformance, TasksThatStandStillShowASlowWorker)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     marks.progressed(runs({"a", "b"}, 30ms, 0), Start);
     EXPECT_TRUE(marks.isRunningSlow());
     EXPECT_GE(marks.slowness(Start), 20);
 }
 
 // Two long tasks are no slow worker; of four, all that are slow are.
-TEST(WorkerMarks, FewLongTasksDoNotShowASlowWorker)
+TEST(WorkerPerformance, FewLongTasksDoNotShowASlowWorker)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     marks.progressed(runs({"a", "b"}, 30ms, 7), Start);
     EXPECT_FALSE(marks.isRunningSlow());
     marks.progressed(runs({"a", "b", "c", "d"}, 30ms, 7), Start);
@@ -99,17 +99,17 @@
 
 // Guards against a sound worker that is avoided for one job whose run times were declared too
 // short: its tasks are long together.
-TEST(WorkerMarks, TheTasksOfOneLongJobDoNotShowASlowWorker)
+TEST(WorkerPerformance, TheTasksOfOneLongJobDoNotShowASlowWorker)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     marks.progressed(runs({"a", "a", "a", "a", "a"}, 30ms, 7), Start);
     EXPECT_FALSE(marks.isRunningSlow());
 }
 
 // Guards against a sound worker that is avoided because the long tasks are those that still run.
-TEST(WorkerMarks, SomeLongJobsAmongOthersDoNotShowASlowWorker)
+TEST(WorkerPerformance, SomeLongJobsAmongOthersDoNotShowASlowWorker)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     std::vector<RunProgress> all = runs({"a", "b"}, 300ms, 30);
     for (const RunProgress &it : runs({"c", "d"}, 30ms, 28))
         all.push_back(it);
@@ -118,9 +118,9 @@
 }
 
 // A percentage that is rounded down must not make a run that has just begun look slow.
-TEST(WorkerMarks, RunsThatHaveJustBegunDoNotShowASlowWorker)
+TEST(WorkerPerformance, RunsThatHaveJustBegunDoNotShowASlowWorker)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     std::vector<RunProgress> young = runs({"a", "b", "c", "d"}, 15ms, 1);
     for (RunProgress &it : young)
         it.expected = 800ms;
@@ -129,9 +129,9 @@
 }
 
 // The first 40 ms of runs say nothing.
-TEST(WorkerMarks, ShortRunsSayNothing)
+TEST(WorkerPerformance, ShortRunsSayNothing)
 {
-    WorkerMarks marks;
+    WorkerPerformance marks;
     marks.progressed(runs({"a", "b", "c", "d"}, 9ms, 0), Start);
     EXPECT_FALSE(marks.isRunningSlow());
 }
--- a/tools/fleetmodel.h
+++ b/tools/fleetmodel.h
@@ -173,7 +173,7 @@
         BasicPlacement<Policy> placement;
         WorkerHealth health;
         RetryBudget budget;
-        std::vector<LoadDigest> known; // newest digest of each agent and when it was observed
+        std::vector<LoadReport> known; // newest digest of each agent and when it was observed
         std::vector<double> knownAt;
         std::map<std::size_t, std::pair<QueuedTask, std::size_t>> reserved; // by token: at worker
     };
@@ -192,7 +192,7 @@
         auto home = std::make_unique<Home>(Home{
             Admission(m_options.seed + i), BasicPlacement<Policy>(centreOf(i), m_options.seed + i),
             WorkerHealth(), RetryBudget::create(0.1, m_options.retryBurst),
-            std::vector<LoadDigest>(m_options.workers),
+            std::vector<LoadReport>(m_options.workers),
             std::vector<double>(m_options.workers, -1)});
         home->admission.configure(fleetConfig(m_options));
         home->admission.setHomeShare(1 / static_cast<double>(m_options.workers));
@@ -215,10 +215,10 @@
         return (centreOf(from) == centreOf(to) ? m_options.nearDelayMs : m_options.delayMs) / 1000;
     }
 
-    LoadDigest digestOf(std::size_t i) const
+    LoadReport digestOf(std::size_t i) const
     {
         const Executor &it = m_executors[i];
-        LoadDigest digest;
+        LoadReport digest;
         digest.agent = agentOf(i);
         digest.upstream = Upstream;
         digest.freeSlots = it.free;
@@ -227,7 +227,7 @@
         return digest;
     }
 
-    void learn(std::size_t home, const LoadDigest &digest, double observedAt)
+    void learn(std::size_t home, const LoadReport &digest, double observedAt)
     {
         Home &it = *m_homes[home];
         const std::size_t k = digest.agent.value - 1;
@@ -235,7 +235,7 @@
             return;
         it.knownAt[k] = observedAt;
         it.known[k] = digest;
-        LoadDigest aged = digest;
+        LoadReport aged = digest;
         aged.age = span(m_clock.now() - observedAt);
         it.placement.observe(aged, at(m_clock.now()));
     }
@@ -245,7 +245,7 @@
     {
         ++m_result.messages;
         const double sentAt = m_clock.now();
-        std::vector<std::pair<LoadDigest, double>> digests{{digestOf(from), sentAt}};
+        std::vector<std::pair<LoadReport, double>> digests{{digestOf(from), sentAt}};
         if (m_options.gossip) {
             const Home &sender = *m_homes[from];
             for (std::size_t k = 0; k < m_options.workers; ++k) {
@@ -265,13 +265,13 @@
     // Entries feed each agent every second with what the agents told them a second before.
     void feed()
     {
-        std::vector<LoadDigest> digests;
+        std::vector<LoadReport> digests;
         for (std::size_t i = 0; i < m_options.workers; ++i)
             digests.push_back(digestOf(i));
         const double observedAt = m_clock.now();
         m_clock.after(observedAt == 0 ? 0 : 1, [this, digests, observedAt] {
             for (std::size_t home = 0; home < m_options.workers; ++home) {
-                for (const LoadDigest &digest : digests)
+                for (const LoadReport &digest : digests)
                     learn(home, digest, observedAt);
                 dispatch(home);
             }
@@ -324,7 +324,7 @@
     {
         Home &home = *m_homes[index];
         const TimePoint now = at(m_clock.now());
-        const TaskNeeds needs;
+        const TaskResources needs;
         while (home.admission.queuedTasks(Upstream) > 0) {
             std::optional<Incarnation> agent = probeTarget(home, now);
             if (!agent)
@@ -513,7 +513,7 @@
         }
         if (m_options.health)
             home.placement.setWeight(agentOf(worker), home.health.weight(agentOf(worker), now));
-        if (!succeeded && m_options.idempotent && home.budget.tryRetry()) {
+        if (!succeeded && m_options.idempotent && home.budget.trySpend()) {
             m_result.wasted += 2; // the failed start and its result
             home.admission.push(queuedTask(m_workload, token), now);
             return;
--- a/tools/logstandinserver.h
+++ b/tools/logstandinserver.h
@@ -100,7 +100,7 @@
         if (request.path == "/faults")
             return handleFaults(id, request);
         if (m_faults.down)
-            return m_server->drop(id);
+            return m_server->closeWithoutResponse(id);
         const std::string stream = streamOf(request.path);
         if (stream.empty())
             return m_server->respond(id, {404, R"({"error":"no such path"})"});
@@ -129,7 +129,7 @@
         const std::uint64_t offset = append(stream, body);
         if (m_faults.dropReplies > 0) {
             --m_faults.dropReplies;
-            return m_server->drop(id);
+            return m_server->closeWithoutResponse(id);
         }
         Json::Value json;
         json["offset"] = jsonfields::uint(offset);
@@ -177,7 +177,7 @@
         m_faults = faults;
         if (m_faults.down) {
             for (const Reader &reader : std::exchange(m_readers, {}))
-                m_server->drop(reader.id);
+                m_server->closeWithoutResponse(reader.id);
         }
         for (auto &[name, stream] : m_streams)
             trim(stream);
--- a/tools/nodemodel.h
+++ b/tools/nodemodel.h
@@ -207,7 +207,7 @@
     // Every second with the loads of a second ago.
     void feedAll()
     {
-        for (LoadDigest &it : m_loads)
+        for (LoadReport &it : m_loads)
             it.age = span(1);
         for (std::size_t i = 0; i < m_nodes.size(); ++i)
             feed(i);
@@ -294,7 +294,7 @@
     std::vector<LogRecord> m_log;
     std::set<std::string> m_appendIds;
     std::vector<std::unique_ptr<Node>> m_nodes;
-    std::vector<LoadDigest> m_loads;
+    std::vector<LoadReport> m_loads;
     std::unordered_map<JobKey, std::size_t> m_byKey;
     std::size_t m_left = 0;
     std::uint64_t m_startTasks = 0;
--- a/tools/upstreamstandin.cpp
+++ b/tools/upstreamstandin.cpp
@@ -222,7 +222,7 @@
         task.end->startIn(std::min(runTime, lease));
         if (m_faults.closeAfterStart || (m_faults.closeReused && !request.isFirstOnConnection)) {
             task.isDropped = true;
-            m_server->drop(id);
+            m_server->closeWithoutResponse(id);
         }
     }
 
