--- a/src/logging.cpp
+++ b/src/logging.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string commonFields;
+std::string commonFields; // "role=... instance=..." of every line
 
 bool needsQuotes(std::string_view value)
 {
@@ -32,15 +32,16 @@
     conf.setGlobally(el::ConfigurationType::ToStandardOutput, "true");
     conf.setGlobally(el::ConfigurationType::Format,
                      "time=%datetime{%Y-%M-%dT%H:%m:%s.%g} level=%level %msg");
-    const auto disable = [&](el::Level it, LogLevel below) {
-        if (level > below)
-            conf.set(it, el::ConfigurationType::Enabled, "false");
+    const auto disableIfBelow = [&](el::Level libraryLevel, LogLevel eventLevel) {
+        if (level > eventLevel)
+            conf.set(libraryLevel, el::ConfigurationType::Enabled, "false");
     };
-    disable(el::Level::Debug, LogLevel::Debug);
-    disable(el::Level::Info, LogLevel::Info);
-    disable(el::Level::Warning, LogLevel::Warning);
+    disableIfBelow(el::Level::Debug, LogLevel::Debug);
+    disableIfBelow(el::Level::Info, LogLevel::Info);
+    disableIfBelow(el::Level::Warning, LogLevel::Warning);
     el::Loggers::reconfigureLogger("default", conf);
-    // Values may hold format specifiers of the library; they are written as they are.
+    // No log event may end the process. Format specifiers of the library that a value contains are
+    // written as they are.
     el::Loggers::addFlag(el::LoggingFlag::DisableApplicationAbortOnFatalLog);
     commonFields = formatField("role", role) + ' ' + formatField("instance", instance);
 }
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -1,4 +1,4 @@
-// prometheus-cpp behind plain types, with the table of every metric that the product has.
+// Metrics on prometheus-cpp, and the list of all metrics of all roles.
 
 #include "metrics.h"
 
@@ -14,13 +14,13 @@
 
 namespace {
 
-struct Description
+struct MetricDescription
 {
     const char *name;
-    const char *help;
+    const char *help; // shown to operators on /metrics
 };
 
-constexpr Description Counters[] = {
+constexpr MetricDescription Counters[] = {
     {"cactuscove_events_total", "Log events by name."},
     {"cactuscove_http_requests_total", "HTTP requests answered, by route and status."},
     {"cactuscove_messages_sent_total", "Messages sent to other processes, by type."},
@@ -34,7 +34,7 @@
     {"cactuscove_log_appends_total", "Appends to the log, by result."},
 };
 
-constexpr Description Gauges[] = {
+constexpr MetricDescription Gauges[] = {
     {"cactuscove_up_members", "Members that are up, by role."},
     {"cactuscove_down_members", "Members that are declared down and not yet retired, by role."},
     {"cactuscove_shards_owned", "Shards that this process is the home of."},
@@ -50,28 +50,29 @@
     {"cactuscove_open_requests", "HTTP requests that are not yet answered."},
 };
 
-constexpr Description Histograms[] = {
+constexpr MetricDescription Histograms[] = {
     {"cactuscove_job_seconds", "Time from the caller's submission to the whole answer."},
     {"cactuscove_upstream_seconds", "Run time of a task on the upstream, as seen by the agent."},
     {"cactuscove_peer_call_seconds", "Duration of a call to another process."},
 };
 
-// Tasks run from 50 ms to several seconds; hops take under a millisecond.
-const prometheus::Histogram::BucketBoundaries Buckets
+// Upper bounds in seconds. Tasks run from 50 ms to several seconds; a call between two processes
+// takes less than a millisecond.
+const prometheus::Histogram::BucketBoundaries DurationBuckets
     = {0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30, 60};
 
 template <typename T, std::size_t N>
 void registerFamilies(std::map<std::string, prometheus::Family<T> *> &families,
-                      const Description (&table)[N], prometheus::Registry &registry,
+                      const MetricDescription (&table)[N], prometheus::Registry &registry,
                       prometheus::detail::Builder<T> (*builder)())
 {
-    for (const Description &it : table)
+    for (const MetricDescription &it : table)
         families[it.name] = &builder().Name(it.name).Help(it.help).Register(registry);
 }
 
 template <typename T>
-prometheus::Family<T> &family(const std::map<std::string, prometheus::Family<T> *> &families,
-                              const std::string &name)
+prometheus::Family<T> &findFamily(const std::map<std::string, prometheus::Family<T> *> &families,
+                                  const std::string &name)
 {
     const auto it = families.find(name);
     if (it == families.end())
@@ -105,17 +106,17 @@
 
 void Metrics::add(const std::string &name, const MetricLabels &labels, double value)
 {
-    family(m_impl->counters, name).Add(labels).Increment(value);
+    findFamily(m_impl->counters, name).Add(labels).Increment(value);
 }
 
 void Metrics::set(const std::string &name, const MetricLabels &labels, double value)
 {
-    family(m_impl->gauges, name).Add(labels).Set(value);
+    findFamily(m_impl->gauges, name).Add(labels).Set(value);
 }
 
 void Metrics::observeSeconds(const std::string &name, const MetricLabels &labels, double seconds)
 {
-    family(m_impl->histograms, name).Add(labels, Buckets).Observe(seconds);
+    findFamily(m_impl->histograms, name).Add(labels, DurationBuckets).Observe(seconds);
 }
 
 std::string Metrics::text() const
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -1,4 +1,4 @@
-// Metrics of a process (prometheus-cpp), served as text on /metrics.
+// Metrics of one process, kept in a prometheus-cpp registry and served as text on /metrics.
 
 #pragma once
 
@@ -8,9 +8,11 @@
 
 namespace cactuscove {
 
-using MetricLabels = std::map<std::string, std::string>;
+using MetricLabels = std::map<std::string, std::string>; // label name -> label value
 
-// Every name must be in the table of metrics.cpp; an unknown name is a programming error.
+// The metrics are listed in metrics.cpp with their kind and help text. Each function throws
+// std::logic_error if `name` is not in the list of the kind of metric that it updates. A series is
+// created the first time that its labels are used.
 class Metrics
 {
 public:
@@ -19,10 +21,14 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
+    // Increases a counter by `value`, which must not be negative.
     void add(const std::string &name, const MetricLabels &labels = {}, double value = 1);
+    // Sets a gauge.
     void set(const std::string &name, const MetricLabels &labels, double value);
+    // Adds a duration in seconds to a histogram.
     void observeSeconds(const std::string &name, const MetricLabels &labels, double seconds);
 
+    // All metrics in the Prometheus text format.
     std::string text() const;
 
 private:
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,4 +1,4 @@
-// Boost.Program_options behind readSettings().
+// Parses the settings with Boost.Program_options.
 
 #include "settings.h"
 
@@ -18,32 +18,34 @@
 
 constexpr std::string_view EnvironmentPrefix = "CACTUSCOVE_";
 
-po::options_description describe(Role role)
+po::options_description flagDescriptions(Role role)
 {
     const std::string name = role == Role::Entry ? "entry" : "agent";
     po::options_description options("cactuscove " + name + " [flags]\n\nFlags");
     auto add = options.add_options();
     add("listen", po::value<std::string>()->required(), "ip:port to listen on");
     add("advertise", po::value<std::string>()->default_value(""),
-        "ip:port that other processes use; default: the listener's own");
+        "ip:port that other processes connect to; default: the listener's address");
     add("data-centre", po::value<std::string>()->required(), "name of the data centre");
     add("rack", po::value<std::string>()->default_value(""), "name of the rack");
     add("office", po::value<std::string>()->default_value(""), "name of the office");
     add("log-url", po::value<std::string>()->required(), "URL of the platform's log service");
-    add("log-stream", po::value<std::string>()->default_value("cactuscove"), "stream in the log");
+    add("log-stream", po::value<std::string>()->default_value("cactuscove"),
+        "name of the stream in the log service");
     add("log-retention-s", po::value<int>()->default_value(3600),
-        "how long the log keeps a record, in seconds (60 to 2592000)");
+        "time for which the log service keeps a record, in seconds (60 to 2592000)");
     add("shutdown-timeout-s", po::value<int>()->default_value(60),
-        "longest graceful shutdown, in seconds (1 to 3600)");
+        "a graceful shutdown is aborted after this many seconds (1 to 3600)");
     add("log-level", po::value<std::string>()->default_value("info"),
         "debug, info, warning or error");
     add("trace-file", po::value<std::string>()->default_value(""),
-        "file for spans as OTLP/JSON lines; empty: none");
+        "file that spans are appended to as OTLP/JSON lines; empty: no spans are written");
     add("help", "print this text");
     return options;
 }
 
-std::string flagOfVariable(const std::string &variable)
+// "log-url" for "CACTUSCOVE_LOG_URL"; empty for variables without the prefix.
+std::string flagForVariable(const std::string &variable)
 {
     if (!variable.starts_with(EnvironmentPrefix))
         return {};
@@ -54,14 +56,16 @@
     return flag;
 }
 
-class Checker
+// Reads typed values and collects an error for each invalid one.
+class SettingsReader
 {
 public:
-    explicit Checker(const po::variables_map &values)
+    explicit SettingsReader(const po::variables_map &values)
         : m_values(values)
     {}
 
-    std::string text(const std::string &name)
+    // Any text. A flag without a default value that is not set is an error.
+    std::string textValue(const std::string &name)
     {
         if (!m_values.count(name)) {
             errors.push_back("--" + name + ": missing");
@@ -70,34 +74,35 @@
         return m_values[name].as<std::string>();
     }
 
-    std::string required(const std::string &name)
+    // Text that must not be empty.
+    std::string requiredText(const std::string &name)
     {
-        std::string value = text(name);
+        std::string value = textValue(name);
         if (m_values.count(name) && value.empty())
             errors.push_back("--" + name + ": must not be empty");
         return value;
     }
 
-    std::string address(const std::string &name, bool mayBeEmpty)
+    std::string addressText(const std::string &name, bool mayBeEmpty)
     {
-        std::string value = text(name);
+        std::string value = textValue(name);
         if ((!value.empty() || !mayBeEmpty) && m_values.count(name) && !isAddress(value))
-            errors.push_back("--" + name + "=" + value + ": not ip:port");
+            errors.push_back("--" + name + "=" + value + ": must be ip:port");
         return value;
     }
 
-    std::chrono::seconds seconds(const std::string &name, int low, int high)
+    std::chrono::seconds secondsInRange(const std::string &name, int min, int max)
     {
         const int value = m_values[name].as<int>();
-        if (value < low || value > high)
-            errors.push_back("--" + name + "=" + std::to_string(value) + ": not between "
-                             + std::to_string(low) + " and " + std::to_string(high));
+        if (value < min || value > max)
+            errors.push_back("--" + name + "=" + std::to_string(value) + ": must be from "
+                             + std::to_string(min) + " to " + std::to_string(max));
         return std::chrono::seconds(value);
     }
 
-    LogLevel level(const std::string &name)
+    LogLevel logLevel(const std::string &name)
     {
-        const std::string value = text(name);
+        const std::string value = textValue(name);
         if (value == "debug")
             return LogLevel::Debug;
         if (value == "warning")
@@ -106,7 +111,7 @@
             return LogLevel::Error;
         if (value != "info")
             errors.push_back("--" + name + "=" + value
-                             + ": not one of debug, info, warning, error");
+                             + ": must be one of debug, info, warning, error");
         return LogLevel::Info;
     }
 
@@ -116,23 +121,23 @@
     const po::variables_map &m_values;
 };
 
-ProcessSettings check(Role role, Checker &checker)
+ProcessSettings readValues(Role role, SettingsReader &reader)
 {
     ProcessSettings settings;
     settings.role = role;
-    settings.listen = checker.address("listen", false);
-    settings.advertise = checker.address("advertise", true);
-    settings.dataCentre = checker.required("data-centre");
-    settings.rack = checker.text("rack");
-    settings.office = checker.text("office");
-    settings.logUrl = checker.required("log-url");
+    settings.listen = reader.addressText("listen", false);
+    settings.advertise = reader.addressText("advertise", true);
+    settings.dataCentre = reader.requiredText("data-centre");
+    settings.rack = reader.textValue("rack");
+    settings.office = reader.textValue("office");
+    settings.logUrl = reader.requiredText("log-url");
     if (!settings.logUrl.empty() && !settings.logUrl.starts_with("http://"))
-        checker.errors.push_back("--log-url=" + settings.logUrl + ": must start with http://");
-    settings.logStream = checker.required("log-stream");
-    settings.logRetention = checker.seconds("log-retention-s", 60, 2592000);
-    settings.shutdownTimeout = checker.seconds("shutdown-timeout-s", 1, 3600);
-    settings.logLevel = checker.level("log-level");
-    settings.traceFile = checker.text("trace-file");
+        reader.errors.push_back("--log-url=" + settings.logUrl + ": must start with http://");
+    settings.logStream = reader.requiredText("log-stream");
+    settings.logRetention = reader.secondsInRange("log-retention-s", 60, 2592000);
+    settings.shutdownTimeout = reader.secondsInRange("shutdown-timeout-s", 1, 3600);
+    settings.logLevel = reader.logLevel("log-level");
+    settings.traceFile = reader.textValue("trace-file");
     return settings;
 }
 
@@ -141,12 +146,12 @@
 std::variant<ProcessSettings, SettingsErrors, HelpText>
 readSettings(Role role, std::span<const std::string> arguments)
 {
-    const po::options_description options = describe(role);
+    const po::options_description options = flagDescriptions(role);
     po::variables_map values;
     std::vector<std::string> errors;
     try {
-        const std::vector<std::string> list(arguments.begin(), arguments.end());
-        po::store(po::command_line_parser(list)
+        const std::vector<std::string> words(arguments.begin(), arguments.end());
+        po::store(po::command_line_parser(words)
                       .options(options)
                       .positional(po::positional_options_description())
                       .run(),
@@ -155,13 +160,13 @@
         errors.emplace_back(ex.what());
     }
     try {
-        const auto nameOf = [&](const std::string &variable) {
-            const std::string flag = flagOfVariable(variable);
+        const auto flagName = [&](const std::string &variable) {
+            const std::string flag = flagForVariable(variable);
             const bool isKnown
                 = !flag.empty() && flag != "help" && options.find_nothrow(flag, false) != nullptr;
             return isKnown ? flag : std::string();
         };
-        po::store(po::parse_environment(options, nameOf), values);
+        po::store(po::parse_environment(options, flagName), values);
     } catch (const po::error &ex) {
         errors.emplace_back(std::string("environment: ") + ex.what());
     }
@@ -171,11 +176,12 @@
              << EnvironmentPrefix << "LOG_URL.\n";
         return HelpText{text.str()};
     }
-    // Defaults are filled in even after a parse error, so that every mistake is named at once.
+    // A failed parse may have stored no defaults. They are stored here, so that the checks below
+    // can report the remaining mistakes as well.
     po::store(po::command_line_parser(std::vector<std::string>()).options(options).run(), values);
-    Checker checker(values);
-    ProcessSettings settings = check(role, checker);
-    errors.insert(errors.end(), checker.errors.begin(), checker.errors.end());
+    SettingsReader reader(values);
+    ProcessSettings settings = readValues(role, reader);
+    errors.insert(errors.end(), reader.errors.begin(), reader.errors.end());
     if (!errors.empty())
         return SettingsErrors{errors};
     return settings;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings from flags and environment variables.
+// Settings of a process from command-line flags and environment variables.
 
 #include "settings.h"
 
@@ -22,7 +22,8 @@
     EXPECT_EQ(settings.logRetention, std::chrono::seconds(3600));
 }
 
-// Fixing one mistake must not reveal the next one only then.
+// If only the first mistake were reported, an operator would find the next one only after fixing it
+// and starting the process again.
 TEST(Settings, NamesEveryMistakeAtOnce)
 {
     const std::vector<std::string> arguments
