--- a/src/fleetconfig.cpp
+++ b/src/fleetconfig.cpp
@@ -1,8 +1,9 @@
-// Reads the fleet's configuration file through yaml-cpp. Each field is named once, with its type
-// and range, in the read*() functions below.
+// Reads the configuration file with yaml-cpp. The read*() functions below define the name, type and
+// range of each field.
 //
-// Every process replays every accepted file, so a file that one version accepts must be accepted by
-// all: a rule that gets stricter or looser needs a new number in the field `version`.
+// Each process parses every accepted file again when it reads the log, so all versions of the
+// program must accept the same files. A change that makes validation stricter or looser therefore
+// needs a new value of the field `version`.
 
 #include "fleetconfig.h"
 
@@ -24,7 +25,8 @@
 
 constexpr std::uint64_t FileVersion = 1;
 
-// 100 teams need about 20 KB. Snapshots hold the last 20 files, so this bounds them to a few MB.
+// 100 teams need about 20 KB. A ledger snapshot contains the last 20 files, so this limit keeps a
+// snapshot below a few MB.
 constexpr std::size_t MaxFileBytes = 65'536;
 constexpr std::size_t MaxNameBytes = 64;
 constexpr std::size_t MaxReportedValueBytes = 64;
@@ -34,8 +36,8 @@
 constexpr std::uint32_t MaxSlots = 65536;
 constexpr std::uint32_t MaxRunningTasks = 10'000'000;
 constexpr double MaxStartsPerSecond = 1'000'000;
-// Hedges cost the other work at most 2% of the starts, and at most half of an upstream's workers
-// may be ejected; operators can only choose less.
+// Upper limits that operators can only lower: hedges take at most 2% of the starts from other work,
+// and at most half of an upstream's workers are ejected at a time.
 constexpr double MaxHedgeLimit = 0.02;
 constexpr double MaxEjectedFraction = 0.5;
 constexpr double MaxRetryBudget = 0.5;
@@ -46,12 +48,14 @@
     Duration length;
 };
 
-// Longest first, for formatting.
-constexpr DurationUnit Units[] = {{"h", 1h}, {"m", 1min}, {"s", 1s}, {"ms", 1ms}, {"us", 1us}};
+// Longest first: formatDuration() takes the first unit that divides the value.
+constexpr DurationUnit DurationUnits[]
+    = {{"h", 1h}, {"m", 1min}, {"s", 1s}, {"ms", 1ms}, {"us", 1us}};
 
+// In the notation of the file, for example "90s" or "10m".
 std::string formatDuration(Duration value)
 {
-    for (const DurationUnit &unit : Units) {
+    for (const DurationUnit &unit : DurationUnits) {
         if (value.count() != 0 && value % unit.length == Duration::zero())
             return std::to_string(value / unit.length) + std::string(unit.suffix);
     }
@@ -65,6 +69,7 @@
     return {buf, end};
 }
 
+// Returns false for malformed text, a negative value or an overflow.
 bool parseDuration(std::string_view text, Duration &value)
 {
     std::int64_t count = 0;
@@ -72,9 +77,9 @@
     if (ec != std::errc() || count < 0)
         return false;
     const std::string_view suffix = text.substr(static_cast<std::size_t>(end - text.data()));
-    const auto it = std::find_if(std::begin(Units), std::end(Units),
+    const auto it = std::find_if(std::begin(DurationUnits), std::end(DurationUnits),
                                  [suffix](const auto &unit) { return unit.suffix == suffix; });
-    if (it == std::end(Units)
+    if (it == std::end(DurationUnits)
         || count > std::numeric_limits<std::int64_t>::max() / it->length.count())
         return false;
     value = count * it->length;
@@ -89,12 +94,14 @@
               });
 }
 
+// Reads one file and collects all errors. `path` in the functions below is the dotted path of a
+// field, as in ConfigError::field.
 class ConfigReader
 {
 public:
     FleetConfig readFile(const YAML::Node &node);
     void addError(int line, std::string field, std::string value, std::string reason);
-    ConfigErrors takeErrors();
+    ConfigErrors takeErrors(); // sorted by line
 
 private:
     using ReadValue = std::function<void(const YAML::Node &value, const std::string &path)>;
@@ -106,23 +113,30 @@
     };
 
     static int lineOf(const YAML::Node &node) { return node.Mark().line + 1; }
+    // The value as shown in an error.
     static std::string valueText(const YAML::Node &node);
-    // Text of an unquoted scalar, else empty: a quoted number is a string in YAML.
+    // Returns the text of an unquoted scalar, or an empty string for any other node. A quoted
+    // number is a string in YAML.
     static std::string plainText(const YAML::Node &node);
     void addError(const YAML::Node &node, const std::string &path, std::string reason);
 
-    // Reports an empty value at its key, because yaml-cpp places it at the next line.
+    // Returns whether the field has a value. A missing value is reported on the line of its key,
+    // because yaml-cpp gives it the position of the next line.
     bool checkPresent(const YAML::Node &key, const YAML::Node &value, const std::string &path);
 
-    // Calls visit(key, value, path) for each entry and reports what is no map or has a key twice.
+    // Calls visitEntry(key, value, path) for each entry of a map. A node that is not a map, and a
+    // key that occurs twice, are errors.
     template <typename Visit>
-    void readEntries(const YAML::Node &node, const std::string &path, Visit visit);
+    void readEntries(const YAML::Node &node, const std::string &path, Visit visitEntry);
+    // Reads a map with fixed field names. Unknown and missing required fields are errors.
     void readFields(const YAML::Node &node, const std::string &path,
                     const std::vector<Field> &fields);
+    // Reader of a map from names that the operator chooses to values of type T.
     template <typename T>
     ReadValue namedMap(std::map<std::string, T> &target,
                        void (ConfigReader::*read)(const YAML::Node &, const std::string &, T &));
 
+    // Readers of single values. They store a valid value in `target` and report any other one.
     ReadValue integer(std::uint32_t &target, std::uint32_t min, std::uint32_t max);
     ReadValue real(double &target, double min, double max);
     ReadValue duration(Duration &target, Duration min, Duration max);
@@ -144,7 +158,7 @@
     };
 
     ConfigErrors m_errors;
-    std::vector<UpstreamReference> m_references; // checked once the whole file is read
+    std::vector<UpstreamReference> m_references; // checked after the whole file has been read
 };
 
 void ConfigReader::addError(int line, std::string field, std::string value, std::string reason)
@@ -187,7 +201,7 @@
 }
 
 template <typename Visit>
-void ConfigReader::readEntries(const YAML::Node &node, const std::string &path, Visit visit)
+void ConfigReader::readEntries(const YAML::Node &node, const std::string &path, Visit visitEntry)
 {
     if (!node.IsMap()) {
         addError(node, path, "must be a map");
@@ -203,9 +217,9 @@
         std::string entryPath = path;
         entryPath.append(path.empty() ? "" : ".").append(key);
         if (seen.insert(key).second)
-            visit(entry.first, entry.second, entryPath);
+            visitEntry(entry.first, entry.second, entryPath);
         else
-            addError(entry.first, entryPath, "is given twice");
+            addError(entry.first, entryPath, "is a duplicate field");
     }
 }
 
@@ -221,7 +235,8 @@
             std::string known;
             for (const Field &field : fields)
                 known.append(known.empty() ? "" : ", ").append(field.name);
-            addError(lineOf(key), at, valueText(value), "unknown field; known here: " + known);
+            addError(lineOf(key), at, valueText(value),
+                     "unknown field; the fields known here are: " + known);
             return;
         }
         present.insert(it->name);
@@ -279,8 +294,8 @@
         const std::string text = plainText(node);
         double value = 0;
         const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
-        const bool inRange = value >= min && value <= max; // false for "nan"
-        if (text.empty() || ec != std::errc() || end != text.data() + text.size() || !inRange) {
+        const bool isInRange = value >= min && value <= max; // false for "nan"
+        if (text.empty() || ec != std::errc() || end != text.data() + text.size() || !isInRange) {
             addError(node, path,
                      "must be a number from " + formatNumber(min) + " to " + formatNumber(max));
             return;
@@ -364,7 +379,7 @@
             continue;
         if (std::find(config.upstreams.begin(), config.upstreams.end(), upstream)
             != config.upstreams.end()) {
-            addError(node[i], at, "is given twice");
+            addError(node[i], at, "is listed twice");
             continue;
         }
         config.upstreams.push_back(upstream);
@@ -392,7 +407,7 @@
 {
     for (const UpstreamReference &it : m_references) {
         if (!config.upstreams.contains(it.upstream))
-            addError(it.line, it.path, it.upstream, "is no upstream of this file");
+            addError(it.line, it.path, it.upstream, "is not an upstream of this file");
     }
 }
 
@@ -408,8 +423,8 @@
          {"classes", namedMap(classes, &ConfigReader::readClass)},
          {"teams", namedMap(config.teams, &ConfigReader::readTeam)},
          {"upstreams", namedMap(config.upstreams, &ConfigReader::readUpstream)}});
-    // Shares decide only while the classes compete; a queue target is the wait at which a class is
-    // better off being refused.
+    // Default classes. A share only matters while the classes compete for slots. The queue target
+    // is the wait beyond which a caller of the class is better served by a refusal.
     if (classes.empty())
         classes = {{"urgent", {6, 2s}}, {"normal", {3, 5s}}, {"bulk", {1, 30s}}};
     config.classes = std::move(classes);
@@ -417,8 +432,8 @@
     return config;
 }
 
-// Every field by its path, in the notation of the file.
-std::map<std::string, std::string> flatten(const FleetConfig &config)
+// Maps the path of each field to its value in the notation of the file.
+std::map<std::string, std::string> fieldsByPath(const FleetConfig &config)
 {
     std::map<std::string, std::string> fields;
     fields["id_memory"] = formatDuration(config.idMemory);
@@ -469,8 +484,8 @@
         else
             reader.addError(1, "", std::to_string(documents.size()) + " documents",
                             "the file must hold exactly one YAML document");
-    } catch (const YAML::Exception &ec) {
-        reader.addError(ec.mark.line + 1, "", "", "no valid YAML: " + ec.msg);
+    } catch (const YAML::Exception &ex) {
+        reader.addError(ex.mark.line + 1, "", "", "invalid YAML: " + ex.msg);
     }
     ConfigErrors errors = reader.takeErrors();
     if (!errors.empty())
@@ -480,8 +495,8 @@
 
 std::vector<std::string> diffFleetConfig(const FleetConfig &before, const FleetConfig &after)
 {
-    const std::map<std::string, std::string> oldFields = flatten(before);
-    std::map<std::string, std::string> newFields = flatten(after);
+    const std::map<std::string, std::string> oldFields = fieldsByPath(before);
+    std::map<std::string, std::string> newFields = fieldsByPath(after);
     std::map<std::string, std::string> lines; // sorted by path
     for (const auto &[path, value] : oldFields) {
         const auto it = newFields.find(path);
--- a/src/fleetconfig.h
+++ b/src/fleetconfig.h
@@ -1,4 +1,6 @@
-// The accepted configuration file: what operators declare for the whole fleet, and its validation.
+// The configuration file that operators apply to the whole fleet: its typed content, parser and
+// validation. Operators apply a file through OperatorApi; each process then parses the accepted
+// file when its ledger applies the `config` record from the log.
 
 #pragma once
 
@@ -12,62 +14,71 @@
 
 namespace cactuscove {
 
+// A priority class of jobs.
 struct ClassConfig
 {
-    double share = 1;       // weight against the other classes when all are busy
-    Duration queueTarget{}; // a job whose estimated wait is longer is refused at once
+    double share = 1;       // weight against the other classes while they compete for slots
+    Duration queueTarget{}; // a job with a longer estimated wait is refused when it arrives
 };
 
+// A team of callers. Limits of 0 mean unlimited.
 struct TeamConfig
 {
     std::string office;
     double weight = 1;                  // against the other teams within one class
-    std::uint32_t maxRunningTasks = 0;  // fleet-wide; 0 is unlimited
-    double maxStartsPerSecond = 0;      // fleet-wide; 0 is unlimited
-    std::vector<std::string> upstreams; // that the team may use
+    std::uint32_t maxRunningTasks = 0;  // in the whole fleet
+    double maxStartsPerSecond = 0;      // tasks started in the whole fleet
+    std::vector<std::string> upstreams; // names of the upstreams that the team may use
 };
 
+// An upstream. A worker is one instance of it. Limits of 0 mean no limit beside the one that the
+// worker announces.
 struct UpstreamConfig
 {
-    std::uint32_t slotsPerWorker = 0; // upper limit on what a worker announces; 0 is no limit
-    std::uint32_t connectionsPerWorker = 0;
-    double retryBudget = 0.1;        // retries per success
-    double hedgeLimit = 0.02;        // hedges per start
-    double ejectionThreshold = 0.5;  // failure rate above which a worker gets only probes
-    double maxEjectedFraction = 0.5; // of the upstream's workers
+    std::uint32_t slotsPerWorker = 0;       // tasks that may run on one worker at a time
+    std::uint32_t connectionsPerWorker = 0; // open connections to one worker
+    double retryBudget = 0.1;               // retries allowed per successful task
+    double hedgeLimit = 0.02;               // hedged starts allowed per start
+    double ejectionThreshold = 0.5;  // failure rate, 0 to 1, above which a worker gets only probes
+    double maxEjectedFraction = 0.5; // of the upstream's workers; more are never ejected at a time
 };
 
+// Limits on a job that a caller submits.
 struct LimitsConfig
 {
     std::uint32_t maxTasksPerJob = MaxTasksPerJob;
-    std::uint32_t maxBodyBytes = 1 << 20;
+    std::uint32_t maxBodyBytes = 1 << 20; // of the HTTP request
     Duration maxDeadline = std::chrono::seconds(600);
 };
 
+// The content of a valid file. The maps are keyed by name.
 struct FleetConfig
 {
-    Duration idMemory = std::chrono::seconds(600); // how long job keys and results are remembered
+    // Time for which the key and the result of a job are kept; `id_memory` in the file.
+    Duration idMemory = std::chrono::seconds(600);
     LimitsConfig limits;
     std::map<std::string, ClassConfig> classes;
     std::map<std::string, TeamConfig> teams;
     std::map<std::string, UpstreamConfig> upstreams;
 };
 
-// One reason why a file is refused.
+// One error in a file.
 struct ConfigError
 {
-    int line = 0;      // 1-based
-    std::string field; // dotted path, for example "teams.bookings.weight"
-    std::string value;
-    std::string reason;
+    int line = 0;       // from 1
+    std::string field;  // dotted path, for example "teams.bookings.weight"; empty: the whole file
+    std::string value;  // found in the file, or a placeholder such as "(missing)"
+    std::string reason; // for operators
 };
 
 using ConfigErrors = std::vector<ConfigError>;
 
-// Parses and validates a whole file; every error is reported, not only the first.
+// Parses and validates a file. Returns all errors, sorted by line; a YAML syntax error is reported
+// alone.
 Result<FleetConfig, ConfigErrors> parseFleetConfig(std::string_view text);
 
-// One line per changed field: "teams.bookings.weight: 1 -> 3".
+// Returns one line for each field that differs, sorted by field, for example
+// "teams.bookings.weight: 1 -> 3". A field that is absent on one side is shown as "(none)" there.
 std::vector<std::string> diffFleetConfig(const FleetConfig &before, const FleetConfig &after);
 
 } // namespace cactuscove
--- a/tests/fleetconfig_test.cpp
+++ b/tests/fleetconfig_test.cpp
@@ -1,4 +1,4 @@
-// Validation of configuration files: what is refused, and what the operator is told.
+// Validation of configuration files: which files are refused, and with which errors.
 
 #include "fleetconfig.h"
 
@@ -23,7 +23,7 @@
     return text.str();
 }
 
-// "line field value" of each error.
+// "LINE FIELD VALUE" of each error; empty for a valid file.
 std::vector<std::string> errorsOf(const std::string &text)
 {
     std::vector<std::string> result;
@@ -37,7 +37,7 @@
     return result;
 }
 
-// The file that the documentation points to must be usable as it is.
+// Guards against an example file that no longer matches the validation rules.
 TEST(FleetConfig, ExampleIsValid)
 {
     const auto parsed = parseFleetConfig(exampleFile());
@@ -59,7 +59,8 @@
     EXPECT_EQ(valueOf(parsed).idMemory, std::chrono::seconds(600));
 }
 
-// An operator who gets one error at a time needs as many attempts as there are errors.
+// If only the first error were reported, an operator would need as many attempts as there are
+// errors.
 TEST(FleetConfig, ReportsEveryErrorWithLineFieldAndValue)
 {
     EXPECT_THAT(errorsOf("version: 2\n"
@@ -93,7 +94,8 @@
                             "18 upstreams.walk-desk.ejection.limit 1"));
 }
 
-// Files that are no single YAML map must be refused with a line and must not stop the process.
+// A file that is not a single YAML map must be refused with a line number and must not end the
+// process.
 TEST(FleetConfig, RefusesWhatIsNoSingleDocument)
 {
     EXPECT_THAT(errorsOf(""), ElementsAre("1  0 documents"));
@@ -108,7 +110,8 @@
                 ElementsAre("2 id_memory 9223372036854775807h"));
 }
 
-// Every process replays every file, so a file that crashed one would crash the whole fleet.
+// Every process parses every accepted file, so a file that crashes the parser would crash the whole
+// fleet.
 RC_GTEST_PROP(FleetConfigProperty, AnyDamageToAFileIsAcceptedOrRefused,
               (const std::vector<std::pair<unsigned, char>> &edits))
 {
