--- a/src/callerapi.cpp
+++ b/src/callerapi.cpp
@@ -1,5 +1,5 @@
-// Reads caller requests strictly: what is not understood is refused with the field and the reason,
-// because a misread field would run another job than the caller asked for.
+// Strict parser of caller requests. Unknown or malformed fields are refused, because ignoring one
+// could run another job than the caller asked for.
 
 #include "callerapi.h"
 
@@ -26,12 +26,13 @@
 constexpr std::size_t MaxIdBytes = 128;
 constexpr std::int64_t DefaultDeadlineMs = 30'000;
 constexpr std::int64_t MaxDeadlineMs = 600'000;
-constexpr std::int64_t MaxDeclaredMs = 3'600'000; // a hint, so the limit only keeps sums small
+constexpr std::int64_t MaxDeclaredMs = 3'600'000; // only a hint; the limit keeps sums small
 constexpr std::int64_t MaxAccelerators = 1024;
 constexpr std::int64_t MaxMemoryMb = 16'777'216;
 constexpr std::int64_t MaxWaitMs = 600'000;
 
-// The home's answer at the deadline needs a moment to arrive.
+// A home may answer a job as late as its deadline. The caller waits this much longer, so that the
+// answer can still arrive.
 constexpr Duration AnswerGrace = 1s;
 constexpr Duration DefaultCancelWait = 5s;
 
@@ -40,26 +41,28 @@
     return {400, "bad_request", std::move(field), std::move(reason)};
 }
 
-// Stops the reading of a body at the first error; caught in parseCallerRequest.
-struct FieldProblem
+// Thrown at the first error in a request; caught in parseCallerRequest().
+struct RequestException
 {
     CallerError error;
 };
 
 [[noreturn]] void refuse(std::string field, std::string reason)
 {
-    throw FieldProblem{badRequest(std::move(field), std::move(reason))};
+    throw RequestException{badRequest(std::move(field), std::move(reason))};
 }
 
-std::string join(const std::string &path, std::string_view name)
+std::string joinPath(const std::string &path, std::string_view name)
 {
     return path.empty() ? std::string(name) : path + '.' + std::string(name);
 }
 
-// The fields of one JSON object with their path in the body.
+// Typed access to the fields of one JSON object. Each accessor throws RequestException with the
+// path of the field in the body if the field is invalid.
 class ObjectReader
 {
 public:
+    // Refuses a value that is not an object, and fields that are not in `known`.
     ObjectReader(const Json::Value &json, std::string path,
                  std::initializer_list<std::string_view> known)
         : m_json(json)
@@ -69,9 +72,10 @@
             refuse(m_path.empty() ? "body" : m_path, "must be an object");
         for (const std::string &name : json.getMemberNames())
             if (std::find(known.begin(), known.end(), name) == known.end())
-                refuse(join(m_path, name.substr(0, MaxIdBytes)), "unknown field");
+                refuse(joinPath(m_path, name.substr(0, MaxIdBytes)), "unknown field");
     }
 
+    // Refuses a missing field.
     const Json::Value &required(const char *name) const
     {
         if (!m_json.isMember(name))
@@ -87,7 +91,7 @@
         return value.asString();
     }
 
-    // 1 to 128 visible ASCII characters.
+    // A required identifier of 1 to 128 visible ASCII characters.
     std::string id(const char *name) const
     {
         std::string value = text(name);
@@ -98,6 +102,7 @@
         return value;
     }
 
+    // Returns `fallback` if the field is missing.
     std::int64_t number(const char *name, std::int64_t min, std::int64_t max,
                         std::int64_t fallback) const
     {
@@ -110,6 +115,7 @@
         return value.asInt64();
     }
 
+    // Returns `fallback` if the field is missing.
     bool flag(const char *name, bool fallback) const
     {
         if (!m_json.isMember(name))
@@ -120,7 +126,7 @@
     }
 
     bool has(const char *name) const { return m_json.isMember(name); }
-    std::string pathOf(const char *name) const { return join(m_path, name); }
+    std::string pathOf(const char *name) const { return joinPath(m_path, name); }
 
 private:
     const Json::Value &m_json;
@@ -155,7 +161,7 @@
                             + std::to_string(json.size()));
     std::vector<TaskSpec> tasks;
     std::set<std::string_view> ids;
-    tasks.reserve(json.size()); // `ids` refers to the tasks
+    tasks.reserve(json.size()); // prevents reallocation, because `ids` refers to the tasks
     for (Json::ArrayIndex i = 0; i < json.size(); ++i) {
         const std::string path = "tasks[" + std::to_string(i) + ']';
         tasks.push_back(readTask(json[i], path));
@@ -165,7 +171,8 @@
     return tasks;
 }
 
-void checkAgainst(const FleetConfig &config, const JobSpec &spec)
+// Refuses names that the configuration does not have, and an upstream that the team may not use.
+void checkReferences(const FleetConfig &config, const JobSpec &spec)
 {
     const auto team = config.teams.find(spec.team);
     if (team == config.teams.end())
@@ -190,7 +197,7 @@
     spec.key = JobKey{spec.team + '/' + id};
     spec.jobClass = reader.id("class");
     spec.upstream = reader.id("upstream");
-    checkAgainst(config, spec);
+    checkReferences(config, spec);
     const std::int64_t maxDeadline = std::min<std::int64_t>(
         MaxDeadlineMs,
         std::chrono::floor<std::chrono::milliseconds>(config.limits.maxDeadline).count());
@@ -203,6 +210,7 @@
     return spec;
 }
 
+// The query parameter `wait_ms`, or `fallback` if it is missing.
 Duration readWait(const HttpRequest &request, Duration fallback)
 {
     for (const auto &[name, value] : request.query)
@@ -222,7 +230,7 @@
 void readSubmission(const HttpRequest &request, const FleetConfig &config, CallerCommand &command)
 {
     if (request.body.size() > config.limits.maxBodyBytes)
-        throw FieldProblem{
+        throw RequestException{
             {413, "too_large", "body",
              "must have at most " + std::to_string(config.limits.maxBodyBytes) + " bytes"}};
     const auto json = readJson(request.body);
@@ -234,16 +242,17 @@
     command.wait = readWait(request, command.spec.deadline + AnswerGrace);
 }
 
-// "/v1/jobs/{team}/{id}"; the id may contain slashes, a team name may not.
+// Reads a request for one job. `rest` is the part of the path after "/v1/jobs/": "{team}/{id}". The
+// id may contain slashes; the name of a team may not.
 void readJobPath(const HttpRequest &request, std::string_view rest, CallerCommand &command)
 {
     const std::size_t slash = rest.find('/');
     const bool isKey = slash != std::string_view::npos && slash > 0 && slash + 1 < rest.size()
                        && rest.size() <= 2 * MaxIdBytes + 1;
     if (!isKey)
-        throw FieldProblem{{404, "not_found", "path", "expected /v1/jobs/{team}/{id}"}};
+        throw RequestException{{404, "not_found", "path", "expected /v1/jobs/{team}/{id}"}};
     if (request.method != "GET" && request.method != "DELETE")
-        throw FieldProblem{{405, "method_not_allowed", "", "use GET or DELETE"}};
+        throw RequestException{{405, "method_not_allowed", "", "use GET or DELETE"}};
     const bool isCancel = request.method == "DELETE";
     command.action = isCancel ? CallerAction::Cancel : CallerAction::Query;
     command.key = JobKey{std::string(rest)};
@@ -267,8 +276,8 @@
         } else {
             return CallerError{404, "not_found", "path", "unknown path"};
         }
-    } catch (const FieldProblem &problem) {
-        return problem.error;
+    } catch (const RequestException &ex) {
+        return ex.error;
     }
     if (const auto it = request.headers.find("traceparent"); it != request.headers.end())
         command.trace = parseTraceparent(it->second);
@@ -277,7 +286,7 @@
 
 std::uint64_t contentHashOf(const JobSpec &spec)
 {
-    // Each part is preceded by its length, so that no two contents give the same bytes.
+    // Each text is preceded by its length, so that different jobs never yield the same bytes.
     std::string bytes;
     const auto addNumber = [&](std::uint64_t value) {
         bytes.append(reinterpret_cast<const char *>(&value), sizeof(value));
@@ -299,7 +308,7 @@
         addNumber(task.needs.memoryMb);
     }
     const std::uint64_t hash = XXH3_64bits(bytes.data(), bytes.size());
-    return hash == 0 ? 1 : hash; // 0 means "not known" in a witness
+    return hash == 0 ? 1 : hash; // 0 means "not known" in Witness messages
 }
 
 } // namespace cactuscove
--- a/src/callerresponses.cpp
+++ b/src/callerresponses.cpp
@@ -1,4 +1,4 @@
-// Answers and errors of the caller API as HTTP responses.
+// Converts answers and errors to HTTP responses of the caller API.
 
 #include "callerapi.h"
 
@@ -13,7 +13,8 @@
 
 namespace {
 
-// not_run without a retry time cannot be helped by coming back.
+// The HTTP status of an answer. 503 invites a retry; a job that was not run and has no retry time
+// cannot succeed later, so it gets 422.
 int statusOf(const Answer &answer)
 {
     switch (answer.outcome) {
@@ -27,7 +28,8 @@
     return 502;
 }
 
-Json::Value identityOf(const JobKey &key, const std::string &traceId)
+// The fields that identify a job in a response. A JobKey is "team/id".
+Json::Value jobFields(const JobKey &key, const std::string &traceId)
 {
     Json::Value json(Json::objectValue);
     const std::size_t slash = key.value.find('/');
@@ -38,7 +40,7 @@
     return json;
 }
 
-HttpResponse responseWith(int status, const Json::Value &json)
+HttpResponse jsonResponse(int status, const Json::Value &json)
 {
     HttpResponse response;
     response.status = status;
@@ -46,7 +48,8 @@
     return response;
 }
 
-// Whole seconds as the header demands; `retry_after_ms` keeps the spread.
+// Adds the header Retry-After, which can only hold whole seconds. Homes spread the retry times so
+// that refused callers do not all return at once; the field `retry_after_ms` in the body is exact.
 void addRetryAfter(HttpResponse &response, Duration retryAfter)
 {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(retryAfter).count();
@@ -55,7 +58,7 @@
 
 HttpResponse answerResponse(const JobKey &key, const Answer &answer, const std::string &traceId)
 {
-    Json::Value json = identityOf(key, traceId);
+    Json::Value json = jobFields(key, traceId);
     json["outcome"] = std::string(nameOf(answer.outcome));
     if (!answer.reason.empty())
         json["reason"] = answer.reason;
@@ -68,7 +71,7 @@
             Json::Value task;
             task["id"] = it.id;
             task["status"] = it.httpStatus;
-            // JSON text cannot hold other bytes.
+            // A JSON string can only hold valid UTF-8.
             if (isUtf8(it.body))
                 task["body"] = it.body;
             else
@@ -76,7 +79,7 @@
             tasks.append(std::move(task));
         }
     }
-    HttpResponse response = responseWith(statusOf(answer), json);
+    HttpResponse response = jsonResponse(statusOf(answer), json);
     if (answer.retryAfter)
         addRetryAfter(response, *answer.retryAfter);
     return response;
@@ -89,9 +92,9 @@
     if (const auto *final = std::get_if<Answer>(&answer.reply))
         return answerResponse(answer.key, *final, traceId);
     if (std::holds_alternative<JobAccepted>(answer.reply)) {
-        Json::Value json = identityOf(answer.key, traceId);
+        Json::Value json = jobFields(answer.key, traceId);
         json["state"] = "accepted";
-        return responseWith(202, json);
+        return jsonResponse(202, json);
     }
     if (std::holds_alternative<JobNotFound>(answer.reply))
         return toResponse(CallerError{404, "not_found", "id", "no job under this id is known"});
@@ -106,13 +109,13 @@
     if (!error.field.empty())
         json["field"] = error.field;
     json["reason"] = error.reason;
-    return responseWith(error.status, json);
+    return jsonResponse(error.status, json);
 }
 
 HttpResponse notReadyResponse()
 {
     HttpResponse response = toResponse(
-        CallerError{503, "not_ready", "", "this entry takes no requests now; use another one"});
+        CallerError{503, "not_ready", "", "this entry accepts no requests now; use another one"});
     addRetryAfter(response, std::chrono::seconds(1));
     return response;
 }
--- a/src/jsonfields.cpp
+++ b/src/jsonfields.cpp
@@ -1,4 +1,4 @@
-// Strict reading of JSON fields.
+// Strict access to the fields of a JSON object.
 
 #include "jsonfields.h"
 
@@ -6,18 +6,18 @@
 
 const Json::Value &field(const Json::Value &json, const char *name)
 {
-    const Json::Value *it
+    const Json::Value *value
         = json.isObject() ? json.find(name, name + std::char_traits<char>::length(name)) : nullptr;
-    if (!it)
+    if (!value)
         throw FieldError{std::string("field is missing: ") + name};
-    return *it;
+    return *value;
 }
 
 std::uint64_t number(const Json::Value &json, const char *name, std::uint64_t max)
 {
     const Json::Value &value = field(json, name);
     if (!value.isUInt64() || value.asUInt64() > max)
-        throw FieldError{std::string("field is no number in range: ") + name};
+        throw FieldError{std::string("field is not an integer in range: ") + name};
     return value.asUInt64();
 }
 
@@ -25,7 +25,7 @@
 {
     const Json::Value &value = field(json, name);
     if (!value.isString())
-        throw FieldError{std::string("field is no string: ") + name};
+        throw FieldError{std::string("field is not a string: ") + name};
     return value.asString();
 }
 
@@ -33,7 +33,7 @@
 {
     const Json::Value &value = field(json, name);
     if (!value.isBool())
-        throw FieldError{std::string("field is no boolean: ") + name};
+        throw FieldError{std::string("field is not a boolean: ") + name};
     return value.asBool();
 }
 
@@ -41,7 +41,7 @@
 {
     const Json::Value &value = field(json, name);
     if (!value.isArray())
-        throw FieldError{std::string("field is no array: ") + name};
+        throw FieldError{std::string("field is not an array: ") + name};
     return value;
 }
 
--- a/src/random.h
+++ b/src/random.h
@@ -1,5 +1,6 @@
-// Pseudo-random numbers for decisions, identifiers and played schedules. The algorithm is fixed
-// (splitmix64), so that a seed gives the same schedule with every standard library.
+// Pseudo-random numbers for scheduling decisions, span ids and simulated workloads. The algorithm
+// is fixed (splitmix64), so that a seed gives the same run with every standard library. Not
+// suitable for secrets.
 
 #pragma once
 
@@ -14,9 +15,12 @@
     explicit Random(std::uint64_t seed)
         : m_state(seed)
     {}
+    // Uniform over all 64-bit values.
     std::uint64_t next();
-    std::size_t below(std::size_t n) { return static_cast<std::size_t>(next() % n); } // n > 0
-    double fraction();                                                                // in [0, 1)
+    // In [0, n); n must not be 0.
+    std::size_t below(std::size_t n) { return static_cast<std::size_t>(next() % n); }
+    // Uniform in [0, 1).
+    double fraction();
 
 private:
     std::uint64_t m_state;
--- a/src/recordcodec.cpp
+++ b/src/recordcodec.cpp
@@ -1,4 +1,4 @@
-// Log records as JSON through jsoncpp.
+// Encodes and decodes log records with jsoncpp.
 
 #include "recordcodec.h"
 
@@ -16,25 +16,25 @@
 
 namespace {
 
-// Records are three levels deep. jsoncpp throws beyond this limit.
+// Records need three levels. jsoncpp throws an exception if a text is nested deeper than the limit.
 constexpr int MaxJsonDepth = 32;
 
-// Bounds what a reader keeps of an append id.
+// Ledgers remember append ids, so their size must be bounded.
 constexpr std::size_t MaxAppendIdBytes = 128;
 
-// 0 is no process.
-Incarnation process(const Json::Value &json, const char *name)
+// An incarnation that must name a process; 0 does not name one.
+Incarnation nonzeroIncarnation(const Json::Value &json, const char *name)
 {
     const Incarnation incarnation{number(json, name)};
     if (incarnation.value == 0)
-        throw FieldError{std::string("field names no process: ") + name};
+        throw FieldError{std::string("field does not name a process: ") + name};
     return incarnation;
 }
 
 Member readMember(const Json::Value &json)
 {
     Member member;
-    member.incarnation = process(json, "incarnation");
+    member.incarnation = nonzeroIncarnation(json, "incarnation");
     const std::string role = text(json, "role");
     if (role != "entry" && role != "agent")
         throw FieldError{"unknown role"};
@@ -49,7 +49,7 @@
 ClaimRecord readClaim(const Json::Value &json)
 {
     ClaimRecord record;
-    record.home = process(json, "home");
+    record.home = nonzeroIncarnation(json, "home");
     record.transferred = flag(json, "transferred");
     for (const Json::Value &it : array(json, "claims")) {
         const auto shard = static_cast<std::uint16_t>(number(it, "shard", ShardCount - 1));
@@ -64,13 +64,15 @@
     if (type == "register")
         return RegisterRecord{readMember(field(json, "member"))};
     if (type == "suspect")
-        return SuspectRecord{process(json, "by"), process(json, "incarnation")};
+        return SuspectRecord{nonzeroIncarnation(json, "by"),
+                             nonzeroIncarnation(json, "incarnation")};
     if (type == "clear")
-        return ClearRecord{process(json, "by"), process(json, "incarnation")};
+        return ClearRecord{nonzeroIncarnation(json, "by"), nonzeroIncarnation(json, "incarnation")};
     if (type == "leave")
-        return LeaveRecord{process(json, "incarnation"), Incarnation{number(json, "heir")}};
+        return LeaveRecord{nonzeroIncarnation(json, "incarnation"),
+                           Incarnation{number(json, "heir")}};
     if (type == "retire")
-        return RetireRecord{process(json, "incarnation")};
+        return RetireRecord{nonzeroIncarnation(json, "incarnation")};
     if (type == "claim")
         return readClaim(json);
     if (type == "config")
@@ -83,6 +85,7 @@
     throw FieldError{"unknown type"};
 }
 
+// Writes the fields of each type of record body into `json`.
 struct BodyWriter
 {
     Json::Value &json;
@@ -172,10 +175,10 @@
     try {
         if (reader->parse(text.data(), text.data() + text.size(), &json, &errors))
             return json;
-    } catch (const Json::Exception &ec) {
-        errors = ec.what();
+    } catch (const Json::Exception &ex) {
+        errors = ex.what();
     }
-    return CodecError{"no JSON: " + errors};
+    return CodecError{"invalid JSON: " + errors};
 }
 
 Json::Value memberToJson(const Member &member)
@@ -194,8 +197,8 @@
 {
     try {
         return readMember(json);
-    } catch (const FieldError &ec) {
-        return CodecError{ec.reason};
+    } catch (const FieldError &ex) {
+        return CodecError{ex.reason};
     }
 }
 
@@ -215,8 +218,8 @@
         if ((needsId && record.appendId.empty()) || record.appendId.size() > MaxAppendIdBytes)
             return CodecError{"append id is empty or too long"};
         return record;
-    } catch (const FieldError &ec) {
-        return CodecError{ec.reason};
+    } catch (const FieldError &ex) {
+        return CodecError{ex.reason};
     }
 }
 
--- a/src/recordcodec.h
+++ b/src/recordcodec.h
@@ -1,5 +1,6 @@
-// Log records as JSON. Every reader must skip the same records, so the decoder is the only place
-// that decides which text is a record.
+// JSON encoding of log records and fleet members, and strict JSON parsing. All processes must skip
+// the same malformed records to reach the same ledger state, so only this decoder decides whether a
+// text is a record.
 
 #pragma once
 
@@ -13,22 +14,28 @@
 
 namespace cactuscove {
 
+// Why a text or JSON value cannot be decoded.
 struct CodecError
 {
     std::string reason;
 };
 
+// Encodes a record as the text that is appended to the log.
 std::string encodeRecord(const Record &record);
+// Returns an error for text that is not valid JSON, lacks a field, has an unknown `type`, or has an
+// append id that is empty or longer than 128 bytes.
 Result<Record, CodecError> decodeRecord(std::string_view text);
 
-// The same encoding as a JSON value, to be embedded in messages.
+// The same encoding as a JSON value, for records that are embedded in messages.
 Json::Value recordToJson(const Record &record);
 Result<Record, CodecError> recordFromJson(const Json::Value &json);
 
-// Compact JSON text, and its strict reading: no comments, no duplicate keys, bounded depth.
+// Returns compact JSON text.
 std::string writeJson(const Json::Value &json);
+// Parses JSON text. Comments, duplicate keys and nesting deeper than 32 levels are errors.
 Result<Json::Value, CodecError> readJson(std::string_view text);
 
+// Encoding of one member, as in the `register` record and in ledger snapshots.
 Json::Value memberToJson(const Member &member);
 Result<Member, CodecError> memberFromJson(const Json::Value &json);
 
--- a/src/textencoding.cpp
+++ b/src/textencoding.cpp
@@ -1,4 +1,4 @@
-// Bytes as text.
+// UTF-8 check, hex and base64.
 
 #include "textencoding.h"
 
@@ -85,7 +85,7 @@
     bytes.clear();
     if (base64.size() % 4 != 0)
         return false;
-    const auto valueOf = [](char c) {
+    const auto digitValue = [](char c) { // -1 for anything but a base64 digit
         if (c >= 'A' && c <= 'Z')
             return c - 'A';
         if (c >= 'a' && c <= 'z')
@@ -100,7 +100,7 @@
         std::size_t padding = 0;
         for (std::size_t i = 0; i < 4; ++i) {
             const bool isPadding = base64[i] == '=' && isLast && i >= 2;
-            const int value = isPadding ? 0 : valueOf(base64[i]);
+            const int value = isPadding ? 0 : digitValue(base64[i]);
             if (value < 0 || (padding > 0 && !isPadding))
                 return false;
             padding += isPadding;
--- a/src/textencoding.h
+++ b/src/textencoding.h
@@ -1,4 +1,4 @@
-// Bytes as text: UTF-8 check, hex and base64.
+// Text encodings of bytes: UTF-8 check, hex and base64.
 
 #pragma once
 
@@ -7,13 +7,19 @@
 
 namespace cactuscove {
 
-// Well-formed by RFC 3629: no overlong forms, no surrogates.
+// Whether `text` is well-formed UTF-8 by RFC 3629, which excludes overlong forms and surrogates.
 bool isUtf8(std::string_view text);
 
+// Lower-case hex digits, two for each byte.
 std::string toHex(std::string_view bytes);
-bool fromHex(std::string_view hex, std::string &bytes); // false on anything but pairs of hex digits
+// Decodes pairs of hex digits of either case into `bytes`. Returns false if `hex` is anything else;
+// `bytes` is then unspecified.
+bool fromHex(std::string_view hex, std::string &bytes);
 
-std::string toBase64(std::string_view bytes);                 // RFC 4648 with padding
-bool fromBase64(std::string_view base64, std::string &bytes); // false on anything else
+// Base64 by RFC 4648, with padding.
+std::string toBase64(std::string_view bytes);
+// Decodes padded base64 into `bytes`. Returns false if `base64` is anything else; `bytes` is then
+// unspecified.
+bool fromBase64(std::string_view base64, std::string &bytes);
 
 } // namespace cactuscove
--- a/tests/callerapi_test.cpp
+++ b/tests/callerapi_test.cpp
@@ -1,5 +1,5 @@
-// The caller API on plain values: every malformed request is refused with its field, and answers
-// keep their meaning as HTTP responses.
+// The caller API without a server: malformed requests are refused with the name of the field, and
+// each kind of answer becomes the right HTTP response.
 
 #include "callerapi.h"
 #include "recordcodec.h"
@@ -41,7 +41,7 @@
     return parseCallerRequest({"POST", "/v1/jobs", {}, {}, body}, config);
 }
 
-// "status field: reason" of the refusal, or "accepted".
+// "STATUS FIELD: REASON" of the refusal, or "accepted".
 std::string refusalOf(const Result<CallerCommand, CallerError> &result)
 {
     if (isOk(result))
@@ -50,6 +50,7 @@
     return std::to_string(error.status) + ' ' + error.field + ": " + error.reason;
 }
 
+// The refusal of a valid submission after `change` has been applied to its JSON.
 template <typename Change>
 std::string refusalWith(Change change)
 {
@@ -71,7 +72,8 @@
     EXPECT_EQ(command.wait, 31s);
 }
 
-// An upstream that expects JSON gets the value as JSON text, whatever its kind.
+// An upstream that expects JSON must receive any JSON value as compact JSON text, while a string
+// must be passed on unchanged.
 TEST(CallerApi, PayloadIsTextOrAnyJsonValue)
 {
     const auto payloadOf = [](const std::string &payload) {
@@ -87,7 +89,7 @@
     EXPECT_EQ(payloadOf("null"), "null");
 }
 
-// A field that is misread or ignored would run another job than the caller asked for.
+// If a field were misread or ignored, another job than the caller asked for would run.
 TEST(CallerApi, RefusesWhatItDoesNotUnderstand)
 {
     using Json::Value;
@@ -123,7 +125,8 @@
     EXPECT_EQ(refusalOf(post(std::string(5000, ' '))), "413 body: must have at most 4096 bytes");
     for (const std::string &body : {std::string("{"), std::string(), std::string(4000, '['),
                                     std::string(R"({"id":"a","id":"b"})")})
-        EXPECT_TRUE(refusalOf(post(body)).starts_with("400 body: no JSON")) << body.substr(0, 20);
+        EXPECT_TRUE(refusalOf(post(body)).starts_with("400 body: invalid JSON"))
+            << body.substr(0, 20);
 }
 
 TEST(CallerApi, Allows370TasksAndRefuses371)
@@ -141,7 +144,7 @@
               "400 tasks: must have 1 to 370 tasks, not 371");
 }
 
-// Input from outside must not end the process.
+// A damaged body must not end the process.
 RC_GTEST_PROP(CallerApi, AnyBodyIsReadOrRefused, ())
 {
     std::string body = writeJson(jobJson());
@@ -149,7 +152,7 @@
     for (int i = 0; i < edits; ++i)
         body[*rc::gen::inRange<std::size_t>(0, body.size())] = *rc::gen::arbitrary<char>();
     const auto result = post(body);
-    // RC_ASSERT evaluates both sides of ||, so the error is read outside of it.
+    // RC_ASSERT evaluates both sides of ||, and errorOf() throws for a valid result.
     const bool isReadOrRefused = isOk(result) || errorOf(result).status == 400;
     RC_ASSERT(isReadOrRefused);
 }
@@ -177,8 +180,9 @@
               "400 wait: unknown query parameter");
 }
 
-// A resubmission with the rest of its deadline and another trace is the same job; any other
-// difference must give another hash, or a caller would get the answer to another request.
+// A resubmission with a shorter deadline is the same job and must have the same hash. Any other
+// difference must give another hash, because otherwise a caller would get the answer of another
+// job.
 TEST(CallerApi, ContentHashCoversWhatTheJobDoes)
 {
     const JobSpec base = valueOf(post(writeJson(jobJson()))).spec;
@@ -197,7 +201,7 @@
     EXPECT_TRUE(differs([](JobSpec &it) { it.tasks[0].needs.accelerators = 1; }));
     EXPECT_TRUE(differs([](JobSpec &it) { it.tasks.push_back(it.tasks[0]); }));
     EXPECT_TRUE(differs([](JobSpec &it) {
-        it.tasks[0].id = "t0s"; // the same bytes, split elsewhere
+        it.tasks[0].id = "t0s"; // the same bytes in total, split at another place
         it.tasks[0].payload = "eat";
     }));
 }
