--- a/src/operatorapi.cpp
+++ b/src/operatorapi.cpp
@@ -1,4 +1,4 @@
-// GET/PUT /v1/config, /v1/config/history, /v1/config/plan and /v1/status.
+// Request handlers of the operators' HTTP API.
 
 #include "operatorapi.h"
 
@@ -24,7 +24,7 @@
 constexpr char PlanPath[] = "/v1/config/plan";
 constexpr char StatusPath[] = "/v1/status";
 
-constexpr std::size_t MaxPersonBytes = 64;
+constexpr std::size_t MaxVisibleNameBytes = 64;
 
 HttpResponse jsonResponse(int status, const Json::Value &json)
 {
@@ -39,7 +39,7 @@
     return jsonResponse(status, json);
 }
 
-HttpResponse badRequest(const std::string &field, const std::string &reason)
+HttpResponse badRequestResponse(const std::string &field, const std::string &reason)
 {
     Json::Value json;
     json["error"] = "bad_request";
@@ -48,7 +48,7 @@
     return jsonResponse(400, json);
 }
 
-HttpResponse invalidFile(const ConfigErrors &errors)
+HttpResponse invalidFileResponse(const ConfigErrors &errors)
 {
     Json::Value json;
     json["error"] = "invalid_config";
@@ -62,13 +62,14 @@
     return jsonResponse(422, json);
 }
 
-std::string parameter(const HttpRequest &request, const std::string &name)
+// A query parameter; empty if it is missing.
+std::string queryParameter(const HttpRequest &request, const std::string &name)
 {
     const auto it = request.query.find(name);
     return it == request.query.end() ? "" : it->second;
 }
 
-std::optional<Revision> revisionOf(const std::string &text)
+std::optional<Revision> parseRevision(const std::string &text)
 {
     Revision revision;
     const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), revision.value);
@@ -77,13 +78,14 @@
     return revision;
 }
 
-bool isPerson(const std::string &text)
+// Whether the name of an office or author has 1 to 64 visible ASCII characters.
+bool isVisibleName(const std::string &text)
 {
-    return !text.empty() && text.size() <= MaxPersonBytes
+    return !text.empty() && text.size() <= MaxVisibleNameBytes
            && std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
 }
 
-Json::Value describe(const AcceptedConfig &config)
+Json::Value toJson(const AcceptedConfig &config)
 {
     Json::Value json;
     json["revision"] = uint(config.revision.value);
@@ -100,7 +102,7 @@
     return json;
 }
 
-// The notation of the logs. As a number, readers of JSON often round it.
+// In the same notation as in log lines. JSON readers often round a number of this size.
 std::string hexText(Incarnation incarnation)
 {
     char buf[17];
@@ -108,14 +110,14 @@
     return buf;
 }
 
-const char *stateOf(const MemberState &state)
+const char *stateName(const MemberState &state)
 {
     if (state.hasLeft)
         return "left";
     return state.isDown ? "down" : "up";
 }
 
-Json::Value describe(const LoadReport &load)
+Json::Value toJson(const LoadReport &load)
 {
     Json::Value json;
     json["upstream"] = load.upstream;
@@ -143,82 +145,84 @@
         && request.path != StatusPath)
         return false;
     if (request.path != StatusPath && !m_hooks.isReady())
-        m_hooks.respond(id, errorResponse(503, "not_ready", "the log has not been read yet"));
+        m_hooks.respond(
+            id, errorResponse(503, "not_ready", "this entry has not read the whole log yet"));
     else if (request.path == ConfigPath && request.method == "PUT")
         apply(id, request);
     else
-        m_hooks.respond(id, answer(request));
+        m_hooks.respond(id, readOnlyResponse(request));
     return true;
 }
 
-HttpResponse OperatorApi::answer(const HttpRequest &request) const
+HttpResponse OperatorApi::readOnlyResponse(const HttpRequest &request) const
 {
     if (request.method != (request.path == PlanPath ? "POST" : "GET"))
-        return errorResponse(405, "bad_request", "no such method for this path");
+        return errorResponse(405, "bad_request", "method not allowed for this path");
     if (request.path == ConfigPath)
-        return config();
+        return configResponse();
     if (request.path == HistoryPath)
-        return history(request);
-    return request.path == PlanPath ? plan(request.body) : status();
+        return historyResponse(request);
+    return request.path == PlanPath ? planResponse(request.body) : statusResponse();
 }
 
-HttpResponse OperatorApi::config() const
+HttpResponse OperatorApi::configResponse() const
 {
     const AcceptedConfig *current = m_ledger.config();
-    Json::Value json = describe(current ? *current : AcceptedConfig{});
+    Json::Value json = toJson(current ? *current : AcceptedConfig{});
     json["text"] = current ? current->text : "";
     return jsonResponse(200, json);
 }
 
-// Newest first. The text is sent for one revision only, because twenty texts are large.
-HttpResponse OperatorApi::history(const HttpRequest &request) const
+// The accepted revisions, newest first. The text of a file is included only if the query asks for
+// one revision, because the texts of all 20 that are kept would be large.
+HttpResponse OperatorApi::historyResponse(const HttpRequest &request) const
 {
-    const std::string wanted = parameter(request, "revision");
-    const std::optional<Revision> revision = revisionOf(wanted);
-    if (!wanted.empty() && !revision)
-        return badRequest("revision", "must be a whole number");
+    const std::string revisionText = queryParameter(request, "revision");
+    const std::optional<Revision> revision = parseRevision(revisionText);
+    if (!revisionText.empty() && !revision)
+        return badRequestResponse("revision", "must be a whole number");
     Json::Value json;
     Json::Value &revisions = json["revisions"] = Json::Value(Json::arrayValue);
-    const auto &kept = m_ledger.configHistory();
-    for (std::size_t i = kept.size(); i-- > 0;) {
-        if (revision && kept[i].revision != *revision)
+    const auto &history = m_ledger.configHistory();
+    for (std::size_t i = history.size(); i-- > 0;) {
+        if (revision && history[i].revision != *revision)
             continue;
-        Json::Value entry = describe(kept[i]);
+        Json::Value entry = toJson(history[i]);
         if (i > 0)
-            entry["changes"] = changesBetween(*kept[i - 1].parsed, *kept[i].parsed);
-        else if (kept[i].revision == Revision{1})
-            entry["changes"] = changesBetween(FleetConfig(), *kept[i].parsed);
+            entry["changes"] = changesBetween(*history[i - 1].parsed, *history[i].parsed);
+        else if (history[i].revision == Revision{1})
+            entry["changes"] = changesBetween(FleetConfig(), *history[i].parsed);
         if (revision)
-            entry["text"] = kept[i].text;
+            entry["text"] = history[i].text;
         revisions.append(entry);
     }
     if (revision && revisions.empty())
-        return errorResponse(404, "not_found", "revision " + wanted + " is not kept");
+        return errorResponse(404, "not_found", "revision " + revisionText + " is not kept");
     return jsonResponse(200, json);
 }
 
-HttpResponse OperatorApi::plan(const std::string &text) const
+HttpResponse OperatorApi::planResponse(const std::string &text) const
 {
     const auto parsed = parseFleetConfig(text);
     if (!isOk(parsed))
-        return invalidFile(errorOf(parsed));
+        return invalidFileResponse(errorOf(parsed));
     const AcceptedConfig *current = m_ledger.config();
-    Json::Value json = describe(current ? *current : AcceptedConfig{});
+    Json::Value json = toJson(current ? *current : AcceptedConfig{});
     json["changes"] = changesBetween(m_ledger.fleetConfig(), valueOf(parsed));
     return jsonResponse(200, json);
 }
 
-HttpResponse OperatorApi::status() const
+HttpResponse OperatorApi::statusResponse() const
 {
     Json::Value json;
     const AcceptedConfig *current = m_ledger.config();
-    json["config"] = describe(current ? *current : AcceptedConfig{});
+    json["config"] = toJson(current ? *current : AcceptedConfig{});
     json["ready"] = m_hooks.isReady();
     json["log_reachable"] = m_hooks.isLogReachable();
     json["ledger_next"] = uint(m_ledger.next().value);
     std::map<Incarnation, Json::Value> loads;
     for (const LoadReport &load : m_hooks.loads())
-        loads[load.agent] = describe(load);
+        loads[load.agent] = toJson(load);
     std::map<Incarnation, unsigned> shards;
     for (std::uint16_t i = 0; i < ShardCount; ++i)
         ++shards[m_ledger.shard(ShardId{i}).home];
@@ -227,7 +231,7 @@
     for (const auto &[incarnation, state] : m_ledger.members()) {
         Json::Value member = memberToJson(state.member);
         member["incarnation"] = hexText(incarnation);
-        member["state"] = stateOf(state);
+        member["state"] = stateName(state);
         member["suspected_by"] = uint(state.suspectedBy.size());
         if (state.member.role == Role::Agent)
             member["shards"] = shards[incarnation];
@@ -240,70 +244,74 @@
 
 void OperatorApi::apply(RequestId id, const HttpRequest &request)
 {
-    const std::optional<Revision> base = revisionOf(parameter(request, "base"));
-    const std::string office = parameter(request, "office");
-    const std::string author = parameter(request, "author");
+    const std::optional<Revision> base = parseRevision(queryParameter(request, "base"));
+    const std::string office = queryParameter(request, "office");
+    const std::string author = queryParameter(request, "author");
     if (!base)
-        return m_hooks.respond(id, badRequest("base", "must be the revision of the plan"));
-    if (!isPerson(office))
-        return m_hooks.respond(id, badRequest("office", "must be 1 to 64 visible characters"));
-    if (!isPerson(author))
-        return m_hooks.respond(id, badRequest("author", "must be 1 to 64 visible characters"));
+        return m_hooks.respond(id, badRequestResponse("base", "must be the revision of the plan"));
+    if (!isVisibleName(office))
+        return m_hooks.respond(id,
+                               badRequestResponse("office", "must be 1 to 64 visible characters"));
+    if (!isVisibleName(author))
+        return m_hooks.respond(id,
+                               badRequestResponse("author", "must be 1 to 64 visible characters"));
     const auto parsed = parseFleetConfig(request.body);
     if (!isOk(parsed))
-        return m_hooks.respond(id, invalidFile(errorOf(parsed)));
-    // Revisions only rise, so an old base is refused without a write. A newer one than this ledger
-    // knows is left to the log: the operator may have asked an entry that is ahead.
+        return m_hooks.respond(id, invalidFileResponse(errorOf(parsed)));
+    // Revisions only rise, so an outdated base is refused without an append. A base that is newer
+    // than the ledger of this entry may still be right, because the operator may have made the plan
+    // at an entry that has read more of the log. The log then decides.
     const AcceptedConfig *current = m_ledger.config();
     ConfigRecord record{*base, request.body, office, author};
     if (current && *base < current->revision)
-        return m_hooks.respond(id, verdict(record));
+        return m_hooks.respond(id, applyResponse(record));
     if (!m_hooks.isLogReachable())
         return m_hooks.respond(
             id, errorResponse(503, "log_unreachable", "nothing has changed; try again later"));
     const std::string appendId
-        = "config-" + std::to_string(m_self.value) + "-" + std::to_string(++m_lastAppend);
-    m_pending[appendId] = {id, record, m_loop.now() + m_hooks.applyTimeout};
+        = "config-" + std::to_string(m_self.value) + "-" + std::to_string(++m_lastAppendNumber);
+    m_pendingApplies[appendId] = {id, record, m_loop.now() + m_hooks.applyTimeout};
     onTimer();
     m_hooks.append({appendId, std::move(record)});
 }
 
 void OperatorApi::onLedgerChange()
 {
-    for (auto it = m_pending.begin(); it != m_pending.end();) {
+    for (auto it = m_pendingApplies.begin(); it != m_pendingApplies.end();) {
         if (!m_ledger.hasAppend(it->first)) {
             ++it;
             continue;
         }
-        m_hooks.respond(it->second.request, verdict(it->second.record));
-        it = m_pending.erase(it);
+        m_hooks.respond(it->second.request, applyResponse(it->second.record));
+        it = m_pendingApplies.erase(it);
     }
 }
 
-// The one record that was accepted on top of `base` became revision base + 1, so the history tells
-// whether it was this one, even if the ledger has skipped records by a snapshot. The same file by
-// the same author on the same base counts as this one: it is in force.
-HttpResponse OperatorApi::verdict(const ConfigRecord &record) const
+// The record that was accepted on top of `base` became revision base + 1. The history therefore
+// shows whether it was this record, even if the ledger skipped records by loading a snapshot. An
+// equal file by the same author on the same base also counts as accepted: its content was put in
+// force.
+HttpResponse OperatorApi::applyResponse(const ConfigRecord &record) const
 {
     for (const AcceptedConfig &it : m_ledger.configHistory()) {
         if (it.revision.value == record.base.value + 1 && it.text == record.text
             && it.office == record.office && it.author == record.author)
-            return jsonResponse(200, describe(it));
+            return jsonResponse(200, toJson(it));
     }
-    return conflict(record.base);
+    return conflictResponse(record.base);
 }
 
-HttpResponse OperatorApi::conflict(Revision base) const
+HttpResponse OperatorApi::conflictResponse(Revision base) const
 {
     const auto &history = m_ledger.configHistory();
     Json::Value json;
     json["error"] = "conflict";
     json["base"] = uint(base.value);
-    json["current"] = describe(history.empty() ? AcceptedConfig{} : history.back());
+    json["current"] = toJson(history.empty() ? AcceptedConfig{} : history.back());
     const auto winner = std::find_if(history.begin(), history.end(), [base](const auto &it) {
         return it.revision.value == base.value + 1;
     });
-    json["winner"] = winner == history.end() ? json["current"] : describe(*winner);
+    json["winner"] = winner == history.end() ? json["current"] : toJson(*winner);
     json["reason"] = winner == history.end() && (history.empty() || base > history.back().revision)
                          ? "no such revision"
                          : "another file was accepted first; nothing has changed";
@@ -314,9 +322,9 @@
 {
     const TimePoint now = m_loop.now();
     TimePoint next = NeverTime;
-    for (auto it = m_pending.begin(); it != m_pending.end();) {
-        if (now < it->second.until) {
-            next = std::min(next, it->second.until);
+    for (auto it = m_pendingApplies.begin(); it != m_pendingApplies.end();) {
+        if (now < it->second.deadline) {
+            next = std::min(next, it->second.deadline);
             ++it;
             continue;
         }
@@ -324,8 +332,9 @@
             it->second.request,
             m_hooks.withdraw(it->first)
                 ? errorResponse(503, "log_unreachable", "nothing has changed; try again later")
-                : errorResponse(504, "unclear", "the log has not answered; see the history"));
-        it = m_pending.erase(it);
+                : errorResponse(504, "unclear",
+                                "the log service has not answered; see the history"));
+        it = m_pendingApplies.erase(it);
     }
     m_timer.startAt(next);
 }
--- a/src/operatorcommands.cpp
+++ b/src/operatorcommands.cpp
@@ -1,4 +1,4 @@
-// Operator commands over the HTTP API of any entry, with libcurl.
+// Implements the operator commands with blocking libcurl calls to the HTTP API of an entry.
 
 #include "operatorcommands.h"
 
@@ -31,28 +31,30 @@
 
 constexpr std::array Commands = {"apply", "plan", "validate", "get", "history", "status"};
 
-// The entry answers an apply within 8 s.
+// Must exceed OperatorApiHooks::applyTimeout: the entry answers an apply within 8 s.
 constexpr long CallTimeoutMs = 12'000;
 constexpr long ConnectTimeoutMs = 2'000;
 
 struct Options
 {
     std::string command;
-    std::string file;
-    std::string entryUrl;
+    std::string file;     // path of the configuration file
+    std::string entryUrl; // "http://ip:port"
     std::string office;
     std::string author;
-    std::string base; // empty: the revision in force
+    std::string base; // revision that the file was made from; empty: the one in force
 };
 
-struct HttpAnswer
+// The outcome of one HTTP call.
+struct HttpOutcome
 {
-    long status = 0; // 0 without an answer
+    long status = 0; // 0 if there was no response
     std::string body;
-    std::string failure;
+    std::string failure; // reason if there was no response
     bool wasSent = true; // false if the request provably did not reach the entry
 };
 
+// One run of a command. Each function named after a command runs it.
 class Command
 {
 public:
@@ -62,24 +64,26 @@
         , m_err(err)
     {}
 
-    CommandExit run();
+    ExitCode run();
 
 private:
-    CommandExit validate();
-    CommandExit plan();
-    CommandExit apply();
-    CommandExit get();
-    CommandExit history();
-    CommandExit status();
+    ExitCode validate();
+    ExitCode plan();
+    ExitCode apply();
+    ExitCode get();
+    ExitCode history();
+    ExitCode status();
 
     bool readFile();
-    HttpAnswer call(const std::string &method, const std::string &path);
-    HttpAnswer transfer(CURL *curl, const std::string &method, const std::string &url);
-    std::string escape(const std::string &text);
-    // The JSON of a 200 answer; otherwise prints why there is none and sets `exit`.
+    HttpOutcome call(const std::string &method, const std::string &path);
+    HttpOutcome transfer(CURL *curl, const std::string &method, const std::string &url);
+    std::string escape(const std::string &text); // percent-encodes a query parameter
+    // Calls the entry and returns the JSON of a 200 response. On any other outcome prints the
+    // reason and sets `exit`.
     std::optional<Json::Value> fetch(const std::string &method, const std::string &path,
-                                     CommandExit &exit);
-    CommandExit explain(const HttpAnswer &answer);
+                                     ExitCode &exit);
+    // Prints why a response is not a success.
+    ExitCode reportFailure(const HttpOutcome &outcome);
     void printErrors(const ConfigErrors &errors);
     void printConflict(const Json::Value &json);
     void printChanges(const Json::Value &changes);
@@ -88,9 +92,10 @@
     Options m_options;
     std::ostream &m_out;
     std::ostream &m_err;
-    std::string m_text; // of the file
+    std::string m_fileText; // content of the file
 };
 
+// "revision 3 by AUTHOR (OFFICE)"
 std::string revisionLine(const Json::Value &json)
 {
     const std::uint64_t revision = number(json, "revision");
@@ -100,18 +105,19 @@
            + text(json, "office") + ")";
 }
 
-std::size_t collectBody(char *data, std::size_t size, std::size_t count, void *target)
+// Write callback of libcurl.
+std::size_t appendToBody(char *data, std::size_t size, std::size_t count, void *target)
 {
     static_cast<std::string *>(target)->append(data, size * count);
     return size * count;
 }
 
-CommandExit Command::run()
+ExitCode Command::run()
 {
     const bool needsFile = m_options.command == "apply" || m_options.command == "plan"
                            || m_options.command == "validate";
     if (needsFile && !readFile())
-        return CommandExit::Usage;
+        return ExitCode::UsageError;
     try {
         if (m_options.command == "validate")
             return validate();
@@ -122,36 +128,36 @@
         if (m_options.command == "get")
             return get();
         return m_options.command == "history" ? history() : status();
-    } catch (const FieldError &ec) {
-        m_err << "unexpected answer of the entry: " << ec.reason << '\n';
-        return CommandExit::Failed;
+    } catch (const FieldError &ex) {
+        m_err << "unexpected answer of the entry: " << ex.reason << '\n';
+        return ExitCode::UnexpectedResponse;
     }
 }
 
 bool Command::readFile()
 {
     std::ifstream file(m_options.file, std::ios::binary);
-    m_text.assign(std::istreambuf_iterator<char>(file), {});
+    m_fileText.assign(std::istreambuf_iterator<char>(file), {});
     if (file.is_open() && !file.bad())
         return true;
     m_err << m_options.file << ": cannot be read\n";
     return false;
 }
 
-CommandExit Command::validate()
+ExitCode Command::validate()
 {
-    const auto parsed = parseFleetConfig(m_text);
+    const auto parsed = parseFleetConfig(m_fileText);
     if (!isOk(parsed)) {
         printErrors(errorOf(parsed));
-        return CommandExit::InvalidFile;
+        return ExitCode::InvalidFile;
     }
     m_out << m_options.file << ": valid\n";
-    return CommandExit::Done;
+    return ExitCode::Success;
 }
 
-CommandExit Command::plan()
+ExitCode Command::plan()
 {
-    CommandExit exit{};
+    ExitCode exit{};
     const auto json = fetch("POST", "/v1/config/plan", exit);
     if (!json)
         return exit;
@@ -159,12 +165,12 @@
     printChanges(array(*json, "changes"));
     m_out << "to apply exactly this: cactuscove apply " << m_options.file
           << " --base=" << number(*json, "revision") << '\n';
-    return CommandExit::Done;
+    return ExitCode::Success;
 }
 
-CommandExit Command::apply()
+ExitCode Command::apply()
 {
-    CommandExit exit{};
+    ExitCode exit{};
     if (m_options.base.empty()) {
         const auto current = fetch("GET", "/v1/config", exit);
         if (!current)
@@ -178,23 +184,24 @@
     if (!json)
         return exit;
     m_out << "accepted: " << revisionLine(*json) << '\n';
-    return CommandExit::Done;
+    return ExitCode::Success;
 }
 
-CommandExit Command::get()
+ExitCode Command::get()
 {
-    CommandExit exit{};
+    ExitCode exit{};
     const auto json = fetch("GET", "/v1/config", exit);
     if (!json)
         return exit;
-    m_err << "in force: " << revisionLine(*json) << '\n'; // keeps the output a valid file
+    // Printed as an error, so that the standard output is exactly the file.
+    m_err << "in force: " << revisionLine(*json) << '\n';
     m_out << text(*json, "text");
-    return CommandExit::Done;
+    return ExitCode::Success;
 }
 
-CommandExit Command::history()
+ExitCode Command::history()
 {
-    CommandExit exit{};
+    ExitCode exit{};
     const auto json = fetch("GET", "/v1/config/history", exit);
     if (!json)
         return exit;
@@ -203,12 +210,12 @@
         if (it.isMember("changes"))
             printChanges(array(it, "changes"));
     }
-    return CommandExit::Done;
+    return ExitCode::Success;
 }
 
-CommandExit Command::status()
+ExitCode Command::status()
 {
-    CommandExit exit{};
+    ExitCode exit{};
     const auto json = fetch("GET", "/v1/status", exit);
     if (!json)
         return exit;
@@ -219,7 +226,7 @@
           << std::left;
     for (const Json::Value &it : array(*json, "members"))
         printMember(it);
-    return CommandExit::Done;
+    return ExitCode::Success;
 }
 
 void Command::printMember(const Json::Value &member)
@@ -246,7 +253,7 @@
     return result;
 }
 
-HttpAnswer Command::call(const std::string &method, const std::string &path)
+HttpOutcome Command::call(const std::string &method, const std::string &path)
 {
     const std::unique_ptr<CURL, void (*)(CURL *)> curl(curl_easy_init(), curl_easy_cleanup);
     if (!curl)
@@ -254,90 +261,90 @@
     return transfer(curl.get(), method, m_options.entryUrl + path);
 }
 
-HttpAnswer Command::transfer(CURL *curl, const std::string &method, const std::string &url)
+HttpOutcome Command::transfer(CURL *curl, const std::string &method, const std::string &url)
 {
-    HttpAnswer answer;
+    HttpOutcome outcome;
     curl_easy_setopt(curl, CURLOPT_URL, url.c_str());
     curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method.c_str());
     curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(curl, CURLOPT_NOPROXY, "*"); // processes are addressed by IP number
     curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, ConnectTimeoutMs);
     curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, CallTimeoutMs);
-    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, collectBody);
-    curl_easy_setopt(curl, CURLOPT_WRITEDATA, &answer.body);
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, appendToBody);
+    curl_easy_setopt(curl, CURLOPT_WRITEDATA, &outcome.body);
     std::unique_ptr<curl_slist, void (*)(curl_slist *)> headers(nullptr, curl_slist_free_all);
     if (method != "GET") {
-        curl_easy_setopt(curl, CURLOPT_POSTFIELDS, m_text.data());
-        curl_easy_setopt(curl, CURLOPT_POSTFIELDSIZE, static_cast<long>(m_text.size()));
+        curl_easy_setopt(curl, CURLOPT_POSTFIELDS, m_fileText.data());
+        curl_easy_setopt(curl, CURLOPT_POSTFIELDSIZE, static_cast<long>(m_fileText.size()));
         headers.reset(curl_slist_append(nullptr, "Content-Type: application/yaml"));
         curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers.get());
     }
     const CURLcode code = curl_easy_perform(curl);
     if (code == CURLE_OK) {
-        curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &answer.status);
-        return answer;
+        curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &outcome.status);
+        return outcome;
     }
     long sent = 0;
     curl_easy_getinfo(curl, CURLINFO_REQUEST_SIZE, &sent);
-    answer.failure = curl_easy_strerror(code);
-    answer.wasSent = sent > 0;
-    return answer;
+    outcome.failure = curl_easy_strerror(code);
+    outcome.wasSent = sent > 0;
+    return outcome;
 }
 
 std::optional<Json::Value> Command::fetch(const std::string &method, const std::string &path,
-                                          CommandExit &exit)
+                                          ExitCode &exit)
 {
-    const HttpAnswer answer = call(method, path);
-    if (answer.status == 200) {
-        auto json = readJson(answer.body);
+    const HttpOutcome outcome = call(method, path);
+    if (outcome.status == 200) {
+        auto json = readJson(outcome.body);
         if (isOk(json))
             return std::move(valueOf(json));
         m_err << "unexpected answer of the entry: " << errorOf(json).reason << '\n';
-        exit = CommandExit::Failed;
+        exit = ExitCode::UnexpectedResponse;
         return std::nullopt;
     }
-    const bool changesFleet = method == "PUT";
-    exit = explain(answer);
-    if (exit == CommandExit::Unclear && !changesFleet)
-        exit = CommandExit::Unreachable;
-    if (exit == CommandExit::Unclear)
-        m_err << "the file may or may not get in force; see: cactuscove history\n";
-    else if (changesFleet && exit != CommandExit::Failed)
+    const bool isApply = method == "PUT";
+    exit = reportFailure(outcome);
+    if (exit == ExitCode::Unclear && !isApply)
+        exit = ExitCode::Unreachable;
+    if (exit == ExitCode::Unclear)
+        m_err
+            << "the file may or may not take effect; to get the result, run: cactuscove history\n";
+    else if (isApply && exit != ExitCode::UnexpectedResponse)
         m_err << "nothing has changed\n";
     return std::nullopt;
 }
 
-// Prints why an answer is no success.
-CommandExit Command::explain(const HttpAnswer &answer)
+ExitCode Command::reportFailure(const HttpOutcome &outcome)
 {
-    if (answer.status == 0) {
-        m_err << m_options.entryUrl << ": " << answer.failure << '\n';
-        return answer.wasSent ? CommandExit::Unclear : CommandExit::Unreachable;
+    if (outcome.status == 0) {
+        m_err << m_options.entryUrl << ": " << outcome.failure << '\n';
+        return outcome.wasSent ? ExitCode::Unclear : ExitCode::Unreachable;
     }
-    const auto read = readJson(answer.body);
+    const auto read = readJson(outcome.body);
     const Json::Value json = isOk(read) ? valueOf(read) : Json::Value(Json::objectValue);
-    if (answer.status == 422) {
+    if (outcome.status == 422) {
         ConfigErrors errors;
         for (const Json::Value &it : array(json, "errors"))
             errors.push_back({static_cast<int>(number(it, "line", 1'000'000)), text(it, "field"),
                               text(it, "value"), text(it, "reason")});
         printErrors(errors);
-        return CommandExit::InvalidFile;
+        return ExitCode::InvalidFile;
     }
-    if (answer.status == 409) {
+    if (outcome.status == 409) {
         printConflict(json);
-        return CommandExit::Conflict;
+        return ExitCode::Conflict;
     }
-    m_err << m_options.entryUrl << ": status " << answer.status;
+    m_err << m_options.entryUrl << ": status " << outcome.status;
     if (json.isObject() && json["reason"].isString())
         m_err << ": " << (json["field"].isString() ? json["field"].asString() + " " : "")
               << json["reason"].asString();
     m_err << '\n';
-    if (answer.status == 400)
-        return CommandExit::Usage;
-    if (answer.status == 503)
-        return CommandExit::Unreachable;
-    return answer.status == 504 ? CommandExit::Unclear : CommandExit::Failed;
+    if (outcome.status == 400)
+        return ExitCode::UsageError;
+    if (outcome.status == 503)
+        return ExitCode::Unreachable;
+    return outcome.status == 504 ? ExitCode::Unclear : ExitCode::UnexpectedResponse;
 }
 
 void Command::printErrors(const ConfigErrors &errors)
@@ -353,7 +360,7 @@
           << text(json, "reason") << '\n'
           << "accepted instead: " << revisionLine(field(json, "winner")) << '\n'
           << "in force: " << revisionLine(field(json, "current")) << '\n'
-          << "run plan again and apply on top of it\n";
+          << "run plan again and apply the file on the base that it prints\n";
 }
 
 void Command::printChanges(const Json::Value &changes)
@@ -364,7 +371,7 @@
         m_out << "  " << (it.isString() ? it.asString() : "") << '\n';
 }
 
-po::options_description describe(const std::string &command)
+po::options_description describeFlags(const std::string &command)
 {
     po::options_description options("cactuscove " + command + " [FILE] [flags]\n\nFlags");
     auto add = options.add_options();
@@ -379,7 +386,7 @@
     return options;
 }
 
-// Flags go before environment variables.
+// Throws po::error for malformed arguments. A flag takes precedence over its environment variable.
 Options readOptions(std::span<const std::string> arguments, const po::options_description &options,
                     bool &wantsHelp)
 {
@@ -403,26 +410,26 @@
     return result;
 }
 
-std::vector<std::string> mistakesIn(const Options &options)
+std::vector<std::string> usageErrors(const Options &options)
 {
-    std::vector<std::string> mistakes;
+    std::vector<std::string> errors;
     const bool isApply = options.command == "apply";
     const bool needsFile = isApply || options.command == "plan" || options.command == "validate";
     if (needsFile && options.file.empty())
-        mistakes.emplace_back("FILE: missing");
+        errors.emplace_back("FILE: missing");
     if (!needsFile && !options.file.empty())
-        mistakes.emplace_back("FILE: not used by this command");
+        errors.emplace_back("FILE: not used by this command");
     if (isApply && options.office.empty())
-        mistakes.emplace_back("--office: missing");
+        errors.emplace_back("--office: missing");
     if (isApply && options.author.empty())
-        mistakes.emplace_back("--author: missing");
+        errors.emplace_back("--author: missing");
     if (!options.base.empty() && !isApply)
-        mistakes.emplace_back("--base: only used by apply");
+        errors.emplace_back("--base: only used by apply");
     if (options.base.find_first_not_of("0123456789") != std::string::npos)
-        mistakes.emplace_back("--base: must be a whole number");
+        errors.emplace_back("--base: must be a whole number");
     if (options.command != "validate" && !options.entryUrl.starts_with("http://"))
-        mistakes.emplace_back("--entry-url: must start with http://");
-    return mistakes;
+        errors.emplace_back("--entry-url: must start with http://");
+    return errors;
 }
 
 } // namespace
@@ -432,31 +439,31 @@
     return std::find(Commands.begin(), Commands.end(), name) != Commands.end();
 }
 
-CommandExit runOperatorCommand(std::span<const std::string> arguments, std::ostream &out,
-                               std::ostream &err)
+ExitCode runOperatorCommand(std::span<const std::string> arguments, std::ostream &out,
+                            std::ostream &err)
 {
-    const po::options_description description = describe(arguments.front());
+    const po::options_description description = describeFlags(arguments.front());
     Options options;
     bool wantsHelp = false;
     try {
         options = readOptions(arguments, description, wantsHelp);
-    } catch (const po::error &ec) {
-        err << "cactuscove: " << ec.what() << '\n';
-        return CommandExit::Usage;
+    } catch (const po::error &ex) {
+        err << "cactuscove: " << ex.what() << '\n';
+        return ExitCode::UsageError;
     }
     if (wantsHelp) {
         out << description
             << "\n--entry-url, --office and --author may be set as CACTUSCOVE_ENTRY_URL,\n"
-               "CACTUSCOVE_OFFICE and CACTUSCOVE_AUTHOR.\n\n"
+               "CACTUSCOVE_OFFICE and CACTUSCOVE_AUTHOR in the environment.\n\n"
                "Exit codes: 0 done, 1 unexpected answer, 2 wrong usage, 3 the file is invalid,\n"
-               "4 another revision was accepted first, 5 entry or log not reachable,\n"
-               "6 unclear whether the file gets in force. After 2 to 5 nothing has changed.\n";
-        return CommandExit::Done;
+               "4 another revision was accepted first, 5 entry or log service not reachable,\n"
+               "6 unclear whether the file takes effect. After 2 to 5 nothing has changed.\n";
+        return ExitCode::Success;
     }
-    const std::vector<std::string> mistakes = mistakesIn(options);
-    for (const std::string &mistake : mistakes)
-        err << "cactuscove: " << mistake << '\n';
-    return mistakes.empty() ? Command(std::move(options), out, err).run() : CommandExit::Usage;
+    const std::vector<std::string> errors = usageErrors(options);
+    for (const std::string &error : errors)
+        err << "cactuscove: " << error << '\n';
+    return errors.empty() ? Command(std::move(options), out, err).run() : ExitCode::UsageError;
 }
 
 } // namespace cactuscove
--- a/src/operatorcommands.h
+++ b/src/operatorcommands.h
@@ -1,4 +1,5 @@
-// Operator commands: apply, plan, validate, get, history and status.
+// The operator commands of the program: apply, plan, validate, get, history and status. Each is
+// one blocking run that, except for validate, calls the HTTP API of an entry (see OperatorApi).
 
 #pragma once
 
@@ -9,21 +10,22 @@
 
 namespace cactuscove {
 
-// Exit codes of the commands.
-enum class CommandExit {
-    Done = 0,
-    Failed = 1,      // an answer that this version does not understand
-    Usage = 2,       // wrong flags, or the file cannot be read
-    InvalidFile = 3, // refused for its content; nothing has changed
-    Conflict = 4,    // another revision was accepted first; nothing has changed
-    Unreachable = 5, // the entry or the log is out of reach; nothing has changed
-    Unclear = 6,     // the file may or may not get in force; see `history`
+// Exit codes of the commands. Scripts of operators depend on the values.
+enum class ExitCode {
+    Success = 0,
+    UnexpectedResponse = 1, // the entry's response is not one that this version understands
+    UsageError = 2,         // wrong arguments, or the file cannot be read
+    InvalidFile = 3,        // the file was refused for its content; nothing has changed
+    Conflict = 4,           // another revision was accepted first; nothing has changed
+    Unreachable = 5,        // the entry or the log service cannot be reached; nothing has changed
+    Unclear = 6,            // the file may or may not take effect; the command `history` shows it
 };
 
 bool isOperatorCommand(std::string_view name);
 
-// `arguments` begin with the command's name. Results go to `out`, errors to `err`.
-CommandExit runOperatorCommand(std::span<const std::string> arguments, std::ostream &out,
-                               std::ostream &err);
+// Runs one command. `arguments` begin with the name of the command, for which isOperatorCommand()
+// must be true. Results are written to `out`, errors to `err`.
+ExitCode runOperatorCommand(std::span<const std::string> arguments, std::ostream &out,
+                            std::ostream &err);
 
 } // namespace cactuscove
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -1,4 +1,4 @@
-// Operator commands against two entries that share one log, as the two offices use them.
+// Operator commands against the operator APIs of two entries that share one log.
 
 #include "fleetconfig.h"
 #include "ledger.h"
@@ -30,7 +30,7 @@
 const std::string ValidFile = "version: 1\nid_memory: 2m\n";
 const std::string OtherFile = "version: 1\nid_memory: 3m\n";
 
-// The parts of an entry process that serve operators.
+// The parts of an entry process that operator commands need.
 struct TestEntry
 {
     TestEntry(EventLoop &loop, HttpClient &http, const std::string &logAddress,
@@ -69,11 +69,13 @@
 
 struct CommandResult
 {
-    CommandExit exit;
+    ExitCode exit;
     std::string out;
     std::string err;
 };
 
+// Runs two entries and a log stand-in on a thread of their own. Office 0 uses the first entry and
+// office 1 the second.
 class OperatorTest : public testing::Test
 {
 protected:
@@ -96,7 +98,7 @@
             std::remove(it.c_str());
     }
 
-    // Runs a task on the thread of the event loop.
+    // Runs a task on the thread of the event loop and waits for its end.
     void onLoop(std::function<void()> task)
     {
         std::promise<void> done;
@@ -115,6 +117,7 @@
         onLoop([&] { change(m_log->faults()); });
     }
 
+    // Polls the condition for up to 5 s. Returns whether it holds.
     static bool waitFor(const std::function<bool()> &condition)
     {
         for (int i = 0; i < 500 && !condition(); ++i)
@@ -127,7 +130,7 @@
         arguments.push_back("--entry-url=" + url);
         std::ostringstream out;
         std::ostringstream err;
-        const CommandExit exit = runOperatorCommand(arguments, out, err);
+        const ExitCode exit = runOperatorCommand(arguments, out, err);
         return {exit, out.str(), err.str()};
     }
 
@@ -190,14 +193,14 @@
 TEST_F(OperatorTest, AcceptedFileIsInForceForBothOffices)
 {
     const auto plan = run({"plan", fileWith(ValidFile)}, urls[0]);
-    EXPECT_EQ(plan.exit, CommandExit::Done) << plan.err;
+    EXPECT_EQ(plan.exit, ExitCode::Success) << plan.err;
     EXPECT_THAT(plan.out, AllOf(HasSubstr("revision 0"), HasSubstr("id_memory: 10m -> 2m"),
                                 HasSubstr("--base=0")));
     const auto applied = apply(0, ValidFile);
-    EXPECT_EQ(applied.exit, CommandExit::Done) << applied.err;
+    EXPECT_EQ(applied.exit, ExitCode::Success) << applied.err;
     EXPECT_EQ(applied.out, "accepted: revision 1 by ida (hollisdale)\n");
     EXPECT_TRUE(waitFor([&] { return run({"get"}, urls[1]).out == ValidFile; }));
-    EXPECT_EQ(apply(1, OtherFile).exit, CommandExit::Done);
+    EXPECT_EQ(apply(1, OtherFile).exit, ExitCode::Success);
     const auto history = run({"history"}, urls[1]);
     EXPECT_THAT(history.out, HasSubstr("revision 2 by otieno (maji-baridi)\n"
                                        "  id_memory: 2m -> 3m\n"
@@ -206,22 +209,23 @@
     EXPECT_THAT(status.out, AllOf(HasSubstr("revision 2"), HasSubstr("log: reachable")));
 }
 
-// Both offices change the fleet at once: exactly one may win, and the other must learn who did.
+// When both offices apply a file to the same base at once, exactly one must succeed, and the other
+// must be told which revision was accepted.
 TEST_F(OperatorTest, LoserOfARaceIsToldTheWinner)
 {
     auto first = std::async(std::launch::async, [this] { return apply(0, ValidFile, "0"); });
     auto second = std::async(std::launch::async, [this] { return apply(1, OtherFile, "0"); });
     const CommandResult a = first.get();
     const CommandResult b = second.get();
-    const bool firstWon = a.exit == CommandExit::Done;
+    const bool firstWon = a.exit == ExitCode::Success;
     const CommandResult &loser = firstWon ? b : a;
-    EXPECT_EQ((firstWon ? a : b).exit, CommandExit::Done);
-    EXPECT_EQ(loser.exit, CommandExit::Conflict);
+    EXPECT_EQ((firstWon ? a : b).exit, ExitCode::Success);
+    EXPECT_EQ(loser.exit, ExitCode::Conflict);
     EXPECT_THAT(loser.err, HasSubstr(firstWon ? "revision 1 by ida (hollisdale)"
                                               : "revision 1 by otieno (maji-baridi)"));
     EXPECT_TRUE(
         waitFor([&] { return run({"get"}, urls[0]).out == (firstWon ? ValidFile : OtherFile); }));
-    EXPECT_EQ(apply(0, ValidFile + "# later\n", "7").exit, CommandExit::Conflict);
+    EXPECT_EQ(apply(0, ValidFile + "# later\n", "7").exit, ExitCode::Conflict);
 }
 
 // A refused file must change nothing, and one run must name all its errors.
@@ -230,44 +234,45 @@
     const std::string bad = "version: 1\nid_memory: soon\ncolour: red\n";
     for (const char *command : {"validate", "plan"}) {
         const auto result = run({command, fileWith(bad)}, urls[0]);
-        EXPECT_EQ(result.exit, CommandExit::InvalidFile);
+        EXPECT_EQ(result.exit, ExitCode::InvalidFile);
         EXPECT_THAT(result.err, AllOf(HasSubstr(":2: id_memory = \"soon\": must be a duration"),
                                       HasSubstr(":3: colour = \"red\": unknown field")));
     }
     const auto applied = apply(0, bad);
-    EXPECT_EQ(applied.exit, CommandExit::InvalidFile);
+    EXPECT_EQ(applied.exit, ExitCode::InvalidFile);
     EXPECT_THAT(applied.err, AllOf(HasSubstr(":2: id_memory"), HasSubstr("nothing has changed")));
     EXPECT_THAT(run({"history"}, urls[0]).out, testing::IsEmpty());
 }
 
-// An operator who is told that nothing changed must be able to rely on it.
+// Guards against a file that takes effect although the operator was told that nothing has changed.
 TEST_F(OperatorTest, OutageOfTheLogIsReportedAtOnce)
 {
     setFaults([](LogFaults &faults) { faults.down = true; });
-    EXPECT_TRUE(waitFor([&] { return apply(0, ValidFile).exit == CommandExit::Unreachable; }));
+    EXPECT_TRUE(waitFor([&] { return apply(0, ValidFile).exit == ExitCode::Unreachable; }));
     setFaults([](LogFaults &faults) { faults.down = false; });
-    EXPECT_TRUE(waitFor([&] { return apply(0, OtherFile).exit == CommandExit::Done; }));
+    EXPECT_TRUE(waitFor([&] { return apply(0, OtherFile).exit == ExitCode::Success; }));
     EXPECT_THAT(run({"history"}, urls[0]).out, Not(HasSubstr("10m -> 2m")));
-    EXPECT_EQ(run({"get"}, "http://127.0.0.1:1").exit, CommandExit::Unreachable);
+    EXPECT_EQ(run({"get"}, "http://127.0.0.1:1").exit, ExitCode::Unreachable);
 }
 
-// The reply of the log may be lost after the file took effect; the operator gets the true answer.
+// The log service may record the file and then lose its reply. The operator must be told that the
+// file was accepted, and it must not be applied twice.
 TEST_F(OperatorTest, LostReplyOfTheLogIsResolved)
 {
     setFaults([](LogFaults &faults) { faults.dropReplies = 1; });
-    EXPECT_EQ(apply(0, ValidFile).exit, CommandExit::Done);
+    EXPECT_EQ(apply(0, ValidFile).exit, ExitCode::Success);
     EXPECT_EQ(run({"history"}, urls[0]).out.find("revision 2"), std::string::npos);
 }
 
-// A file that takes effect late must not be reported as refused, and trying again must not make
-// the operator believe that somebody else has won.
+// A file that takes effect after the timeout must not be reported as refused, and a second attempt
+// must not report a conflict with the first one.
 TEST_F(OperatorTest, UnclearApplyIsReportedAsUnclearAndMayBeRepeated)
 {
     setFaults([](LogFaults &faults) { faults.appendDelayMs = 900; });
-    EXPECT_EQ(apply(0, ValidFile, "0").exit, CommandExit::Unclear);
+    EXPECT_EQ(apply(0, ValidFile, "0").exit, ExitCode::Unclear);
     setFaults([](LogFaults &faults) { faults.appendDelayMs = 0; });
     EXPECT_TRUE(waitFor([&] { return run({"get"}, urls[0]).out == ValidFile; }));
-    EXPECT_EQ(apply(0, ValidFile, "0").exit, CommandExit::Done);
+    EXPECT_EQ(apply(0, ValidFile, "0").exit, ExitCode::Success);
 }
 
 TEST(OperatorCommands, WrongUsageNamesEveryMistake)
@@ -275,7 +280,7 @@
     std::ostringstream out;
     std::ostringstream err;
     const std::vector<std::string> arguments{"apply", "--base=x", "--entry-url=ftp://x"};
-    EXPECT_EQ(runOperatorCommand(arguments, out, err), CommandExit::Usage);
+    EXPECT_EQ(runOperatorCommand(arguments, out, err), ExitCode::UsageError);
     for (const char *name : {"FILE", "--office", "--author", "--base", "--entry-url"})
         EXPECT_THAT(err.str(), HasSubstr(name));
     EXPECT_TRUE(isOperatorCommand("status"));
