--- a/src/agentprocess.cpp
+++ b/src/agentprocess.cpp
@@ -1,4 +1,5 @@
-// Shell of the agent: the upstream's announcements come in, starts on the upstream go out.
+// Connects AgentNode to the upstream beside it: serves the HTTP API through which the upstream
+// announces itself, and starts and stops tasks on the upstream.
 
 #include "agentprocess.h"
 
@@ -12,7 +13,7 @@
 
 namespace {
 
-// How often an agent that still misses a feed checks whether it has to read the log itself.
+// Time between two checks of whether the agent must read the log itself.
 constexpr std::chrono::seconds LogCheckInterval{1};
 
 class AgentProcess : public NodeProcess<AgentNode>
@@ -31,11 +32,11 @@
 private:
     explicit AgentProcess(const ProcessSettings &settings)
         : NodeProcess(settings)
-        , m_upstream(m_parts.loop, m_parts.http,
-                     [this](const TaskRef &ref, std::uint32_t attempt, TaskResult result) {
-                         onUpstreamResult(ref, attempt, std::move(result));
-                     })
-        , m_logCheck(m_parts.loop, [this] { checkLog(); })
+        , m_upstreamClient(m_context.loop, m_context.http,
+                           [this](const TaskRef &ref, std::uint32_t attempt, TaskResult result) {
+                               onUpstreamResult(ref, attempt, std::move(result));
+                           })
+        , m_logCheckTimer(m_context.loop, [this] { checkLog(); })
     {}
 
     std::unique_ptr<AgentNode> makeNode(NodeSettings settings) override
@@ -60,7 +61,7 @@
         if (!isOk(parsed))
             return respond(id, request.path,
                            {errorOf(parsed).status, formatError(errorOf(parsed))});
-        step([&](TimePoint now, Outbox &out) {
+        handleInput([&](TimePoint now, Outbox &out) {
             m_node->onUpstreamAnnounced(valueOf(parsed), now, out);
         });
         respond(id, request.path, {200, "{}\n"});
@@ -72,50 +73,51 @@
         if (!isOk(parsed))
             return respond(id, request.path,
                            {errorOf(parsed).status, formatError(errorOf(parsed))});
-        step([&](TimePoint now, Outbox &out) {
+        handleInput([&](TimePoint now, Outbox &out) {
             m_node->onUpstreamLeft(valueOf(parsed).incarnation, now, out);
         });
         respond(id, request.path, {200, "{}\n"});
     }
 
-    // Agents are fed by entries; they read the log only while they have no feed.
+    // Entries feed the log records to the agents. An agent reads the log itself only while it
+    // receives no feed.
     void checkLog()
     {
-        m_log.setReading(m_node->shouldReadLog(m_parts.loop.now()));
-        m_logCheck.startIn(LogCheckInterval);
+        m_log.setReading(m_node->shouldReadLog(m_context.loop.now()));
+        m_logCheckTimer.startIn(LogCheckInterval);
     }
 
     void perform(StartOnUpstream &effect) override
     {
-        const TraceContext context = m_parts.tracer.child(&effect.trace);
-        m_running[{effect.ref, effect.attempt}]
-            = {context, effect.trace.spanId, m_parts.loop.now()};
+        const TraceContext context = m_context.tracer.startSpan(&effect.trace);
+        m_runningSpans[{effect.ref, effect.attempt}]
+            = {context, effect.trace.spanId, m_context.loop.now()};
         effect.trace = context;
-        m_upstream.start(effect);
+        m_upstreamClient.start(effect);
     }
 
-    void perform(StopOnUpstream &effect) override { m_upstream.stop(effect); }
+    void perform(StopOnUpstream &effect) override { m_upstreamClient.stop(effect); }
 
     void onUpstreamResult(const TaskRef &ref, std::uint32_t attempt, TaskResult result)
     {
         const std::string status(nameOf(result.status));
-        const TimePoint now = m_parts.loop.now();
-        m_parts.metrics.add("cactuscove_upstream_starts_total", {{"result", status}});
-        if (auto node = m_running.extract({ref, attempt})) {
+        const TimePoint now = m_context.loop.now();
+        m_context.metrics.add("cactuscove_upstream_starts_total", {{"result", status}});
+        if (auto node = m_runningSpans.extract({ref, attempt})) {
             const RunSpan &span = node.mapped();
-            m_parts.metrics.observeSeconds(
+            m_context.metrics.observeSeconds(
                 "cactuscove_upstream_seconds", {},
                 std::chrono::duration<double>(now - span.startedAt).count());
-            m_parts.tracer.finish({"upstream.run",
-                                   span.context,
-                                   span.parentSpanId,
-                                   span.startedAt,
-                                   now,
-                                   {{"job", ref.key.value},
-                                    {"task", std::to_string(ref.index)},
-                                    {"result", status}}});
+            m_context.tracer.finishSpan({"upstream.run",
+                                         span.context,
+                                         span.parentSpanId,
+                                         span.startedAt,
+                                         now,
+                                         {{"job", ref.key.value},
+                                          {"task", std::to_string(ref.index)},
+                                          {"result", status}}});
         }
-        step([&](TimePoint at, Outbox &out) {
+        handleInput([&](TimePoint at, Outbox &out) {
             m_node->onUpstreamResult(ref, attempt, std::move(result), at, out);
         });
     }
@@ -123,17 +125,18 @@
     void updateRoleMetrics() override
     {
         const Ledger &ledger = m_node->ledger();
-        m_parts.metrics.set("cactuscove_shards_owned", {},
-                            static_cast<double>(ledger.shardsOf(m_parts.self).size()));
-        for (const LoadReport &it : m_node->loads(m_parts.loop.now())) {
-            if (it.agent != m_parts.self)
+        m_context.metrics.set("cactuscove_shards_owned", {},
+                              static_cast<double>(ledger.shardsOf(m_context.self).size()));
+        for (const LoadReport &it : m_node->loads(m_context.loop.now())) {
+            if (it.agent != m_context.self)
                 continue;
-            m_parts.metrics.set("cactuscove_upstream_slots", {}, it.slots);
-            m_parts.metrics.set("cactuscove_upstream_free_slots", {}, it.freeSlots);
-            m_parts.metrics.set("cactuscove_tasks_queued", {}, it.queued);
+            m_context.metrics.set("cactuscove_upstream_slots", {}, it.slots);
+            m_context.metrics.set("cactuscove_upstream_free_slots", {}, it.freeSlots);
+            m_context.metrics.set("cactuscove_tasks_queued", {}, it.queued);
         }
     }
 
+    // The span of a task that the upstream is running.
     struct RunSpan
     {
         TraceContext context;
@@ -141,9 +144,9 @@
         TimePoint startedAt;
     };
 
-    UpstreamClient m_upstream;
-    Timer m_logCheck;
-    std::map<std::pair<TaskRef, std::uint32_t>, RunSpan> m_running;
+    UpstreamClient m_upstreamClient;
+    Timer m_logCheckTimer;
+    std::map<std::pair<TaskRef, std::uint32_t>, RunSpan> m_runningSpans; // by task and attempt
 };
 
 } // namespace
--- a/src/agentprocess.h
+++ b/src/agentprocess.h
@@ -1,4 +1,5 @@
-// The `agent` role: one process beside each upstream.
+// The process of the role `agent`. One agent runs beside each upstream instance, and starts tasks
+// on it.
 
 #pragma once
 
@@ -6,7 +7,8 @@
 
 namespace cactuscove {
 
-// Runs until SIGTERM and a graceful shutdown; returns the exit status.
+// Runs the process until a graceful shutdown after SIGTERM or SIGINT. Returns the exit status: 0,
+// or 1 if the process cannot start or the shutdown timed out.
 int runAgent(const ProcessSettings &settings);
 
 } // namespace cactuscove
--- a/src/entryprocess.cpp
+++ b/src/entryprocess.cpp
@@ -1,4 +1,4 @@
-// Shell of the entry: requests of callers and operators come in, answers go out.
+// Connects EntryNode to the HTTP APIs of callers and operators.
 
 #include "entryprocess.h"
 
@@ -29,12 +29,11 @@
     }
 
 private:
-    // One HTTP request of a caller that waits for the node's reply. A CallerId has the number of
-    // its RequestId.
-    struct Waiting
+    // An HTTP request of a caller that the node has not answered yet.
+    struct PendingRequest
     {
-        std::string traceId;
-        TimePoint since;
+        std::string traceId; // of the trace that the job belongs to
+        TimePoint since;     // when the request arrived
     };
 
     explicit EntryProcess(const ProcessSettings &settings)
@@ -43,8 +42,9 @@
 
     std::unique_ptr<EntryNode> makeNode(NodeSettings settings) override
     {
-        auto node = std::make_unique<EntryNode>(std::move(settings), m_parts.settings.logRetention);
-        m_operators.emplace(m_parts.loop, m_parts.self, node->ledger(), operatorHooks());
+        auto node
+            = std::make_unique<EntryNode>(std::move(settings), m_context.settings.logRetention);
+        m_operatorApi.emplace(m_context.loop, m_context.self, node->ledger(), operatorHooks());
         return node;
     }
 
@@ -53,7 +53,7 @@
         OperatorApiHooks hooks;
         hooks.isReady = [this] { return m_node->isActive(); };
         hooks.isLogReachable = [this] { return m_log.isReachable(); };
-        hooks.loads = [this] { return m_node->loads(m_parts.loop.now()); };
+        hooks.loads = [this] { return m_node->loads(m_context.loop.now()); };
         hooks.append = [this](Record record) { m_log.append(std::move(record)); };
         hooks.withdraw = [this](const std::string &appendId) { return m_log.withdraw(appendId); };
         hooks.respond = [this](RequestId id, HttpResponse reply) {
@@ -62,13 +62,13 @@
         return hooks;
     }
 
-    void onLedgerChange() override { m_operators->onLedgerChange(); }
+    void onLedgerChange() override { m_operatorApi->onLedgerChange(); }
 
     void handleRequest(RequestId id, HttpRequest request) override
     {
         if (request.path == JobsPath || request.path.starts_with("/v1/jobs/"))
             return handleCaller(id, request);
-        if (!m_operators->handle(id, request))
+        if (!m_operatorApi->handle(id, request))
             respond(id, "other", {404, "{\"error\":\"not_found\"}\n"});
     }
 
@@ -81,14 +81,14 @@
         if (!isOk(parsed))
             return respond(id, route, toResponse(errorOf(parsed)));
         CallerCommand &command = valueOf(parsed);
-        const TimePoint now = m_parts.loop.now();
-        // Without a caller's context the job's span is the first of a new trace.
+        const TimePoint now = m_context.loop.now();
+        // If the caller sent no trace context, the span of the job is the root of a new trace.
         const TraceContext trace = command.trace.value_or(
-            TraceContext{m_parts.tracer.child(nullptr).traceId, std::string()});
-        m_waiting.emplace(id, Waiting{trace.traceId, now});
+            TraceContext{m_context.tracer.startSpan(nullptr).traceId, std::string()});
+        m_pendingRequests.emplace(id, PendingRequest{trace.traceId, now});
         const CallerId caller{id.value};
         const TimePoint waitUntil = now + command.wait;
-        step([&](TimePoint at, Outbox &out) {
+        handleInput([&](TimePoint at, Outbox &out) {
             switch (command.action) {
             case CallerAction::Submit:
                 m_node->submit(caller, std::move(command.spec), trace, waitUntil, at, out);
@@ -105,26 +105,27 @@
 
     void perform(AnswerCaller &effect) override
     {
-        auto node = m_waiting.extract(RequestId{effect.caller.value});
+        auto node = m_pendingRequests.extract(RequestId{effect.caller.value});
         if (!node)
             return;
-        const Waiting &waiting = node.mapped();
-        const TimePoint now = m_parts.loop.now();
+        const PendingRequest &pending = node.mapped();
+        const TimePoint now = m_context.loop.now();
         if (const auto *answer = std::get_if<Answer>(&effect.reply)) {
             const std::string outcome(nameOf(answer->outcome));
-            m_parts.metrics.add("cactuscove_jobs_answered_total",
-                                {{"outcome", outcome}, {"reason", answer->reason}});
-            m_parts.metrics.observeSeconds(
+            m_context.metrics.add("cactuscove_jobs_answered_total",
+                                  {{"outcome", outcome}, {"reason", answer->reason}});
+            m_context.metrics.observeSeconds(
                 "cactuscove_job_seconds", {{"outcome", outcome}},
-                std::chrono::duration<double>(now - waiting.since).count());
+                std::chrono::duration<double>(now - pending.since).count());
         }
-        respond(node.key(), std::string(JobsPath), toResponse(effect, waiting.traceId));
+        respond(node.key(), std::string(JobsPath), toResponse(effect, pending.traceId));
     }
 
-    // The caller hung up; its job goes on, because the caller may ask again elsewhere.
+    // The caller has closed the connection. Its job continues, because the caller may ask for the
+    // answer again, also at another entry.
     void onRequestClosed(RequestId id) override
     {
-        if (m_waiting.erase(id) > 0)
+        if (m_pendingRequests.erase(id) > 0)
             m_node->callerDisconnected(CallerId{id.value});
     }
 
@@ -132,17 +133,18 @@
     void onLogEndRead() override { m_node->onLogEndRead(); }
     void onLogReachable(bool isReachable) override
     {
-        m_node->onLogReachable(isReachable, m_parts.loop.now());
+        m_node->onLogReachable(isReachable, m_context.loop.now());
     }
 
     void updateRoleMetrics() override
     {
-        m_parts.metrics.set("cactuscove_remembered_keys", {},
-                            static_cast<double>(m_node->rememberedKeyCount()));
+        m_context.metrics.set("cactuscove_remembered_keys", {},
+                              static_cast<double>(m_node->rememberedKeyCount()));
     }
 
-    std::optional<OperatorApi> m_operators; // built with the node, whose ledger it reads
-    std::map<RequestId, Waiting> m_waiting;
+    std::optional<OperatorApi> m_operatorApi; // built with the node, whose ledger it reads
+    // A CallerId, by which the node knows a request, has the value of the RequestId.
+    std::map<RequestId, PendingRequest> m_pendingRequests;
 };
 
 } // namespace
--- a/src/entryprocess.h
+++ b/src/entryprocess.h
@@ -1,4 +1,5 @@
-// The `entry` role: the process that callers and operators talk to.
+// The process of the role `entry`, which serves callers and operators and feeds log records to the
+// agents.
 
 #pragma once
 
@@ -6,7 +7,8 @@
 
 namespace cactuscove {
 
-// Runs until SIGTERM and a graceful shutdown; returns the exit status.
+// Runs the process until a graceful shutdown after SIGTERM or SIGINT. Returns the exit status: 0,
+// or 1 if the process cannot start or the shutdown timed out.
 int runEntry(const ProcessSettings &settings);
 
 } // namespace cactuscove
--- a/src/jsonrpc.cpp
+++ b/src/jsonrpc.cpp
@@ -1,4 +1,5 @@
-// The only unit that includes libjsonrpccpp; compiled as C++14 (see CMakeLists.txt).
+// The only file that includes headers of libjsonrpccpp. It is compiled as C++14, because the
+// library uses dynamic exception specifications, which later standards reject (see CMakeLists.txt).
 
 #include "jsonrpc.h"
 
@@ -9,11 +10,12 @@
 
 namespace {
 
-// Keeps the request that the client builds in place of sending it, and feeds it a response.
+// Transport of a client that stores the request instead of sending it, and returns a response that
+// was set before.
 class CapturingConnector : public jsonrpc::IClientConnector
 {
 public:
-    // The library's own signature; dynamic exception specifications need C++14.
+    // The signature is that of the library.
     void SendRPCMessage(const std::string &message, // NOLINT(readability-identifier-naming)
                         std::string &result) throw(jsonrpc::JsonRpcException) override
     {
@@ -25,10 +27,12 @@
     std::string response;
 };
 
-// The client insists on a response to each call; the ids of all calls here are 1.
+// The client needs a response to each call. The id of every call here is 1, because each has a
+// client of its own.
 const char EmptyResponse[] = R"({"jsonrpc":"2.0","id":1,"result":null})";
-const char AnyMethod[] = "any";
+const char AnyMethod[] = "any"; // the client needs a method name to parse a response
 
+// Transport of a server that stores the response instead of sending it.
 class MemoryConnector : public jsonrpc::AbstractServerConnector
 {
 public:
@@ -67,7 +71,7 @@
         return true;
     } catch (const jsonrpc::JsonRpcException &ex) {
         error = ex.GetMessage();
-    } catch (const std::exception &ex) { // jsoncpp throws its own type on malformed values
+    } catch (const std::exception &ex) { // jsoncpp throws other exceptions for malformed values
         error = ex.what();
     }
     return false;
@@ -75,7 +79,7 @@
 
 namespace {
 
-// A base class, so that the connector is built before the server that refers to it.
+// A base class of Impl, so that the connector exists before the server base that refers to it.
 struct ConnectorHolder
 {
     MemoryConnector connector;
--- a/src/jsonrpc.h
+++ b/src/jsonrpc.h
@@ -1,5 +1,6 @@
-// JSON-RPC 2.0 requests and responses by libjsonrpccpp, independent of any transport. Plain types
-// only, because the library's own headers need C++14.
+// Text of JSON-RPC 2.0 requests and responses, built and parsed by libjsonrpccpp without any I/O.
+// PeerLinks sends the texts over HTTP. This header must not include headers of the library, because
+// those can only be compiled up to C++14.
 
 #pragma once
 
@@ -11,17 +12,18 @@
 
 namespace cactuscove {
 
-// Builds a call of `method` with named parameters.
+// Returns the text of a call of `method`. `params` is an object with the named parameters.
 std::string buildRpcRequest(const std::string &method, const Json::Value &params);
 
-// Reads the result of a response into `result`. Returns false with the reason in `error` if the
-// text is no response or carries an error.
+// Stores the result of a response in `result`. Returns false and stores the reason in `error` if
+// the text is not a valid response or contains an error.
 bool parseRpcResponse(const std::string &text, Json::Value &result, std::string &error);
 
-// Dispatches requests to one method with named parameters of any structure.
+// Serves calls of one method.
 class RpcDispatcher
 {
 public:
+    // Receives the named parameters of a call and stores its result.
     using Handler = std::function<void(const Json::Value &params, Json::Value &result)>;
 
     RpcDispatcher(const std::string &method, Handler handler);
@@ -29,7 +31,8 @@
     RpcDispatcher(const RpcDispatcher &) = delete;
     RpcDispatcher &operator=(const RpcDispatcher &) = delete;
 
-    // Returns the response text; an invalid request yields a JSON-RPC error response.
+    // Runs the handler for the call in the text `request` and returns the text of the response. An
+    // invalid request yields a JSON-RPC error response.
     std::string handle(const std::string &request);
 
 private:
--- a/src/logclient.cpp
+++ b/src/logclient.cpp
@@ -1,4 +1,4 @@
-// Long polls, appends and their repetition over the HTTP protocol of the log service.
+// Long polls, appends and retries over the HTTP protocol of the log service.
 
 #include "logclient.h"
 
@@ -14,17 +14,18 @@
 
 namespace {
 
-// A silent connection is noticed after wait + slack and the records are read over a new one, which
-// leaves more than half of the 9 s within which a configuration must be in force.
+// A read over a connection that has gone silent fails after LongPollWait + ReadSlack = 3.5 s. The
+// next read uses a new connection and has more than half of the 9 s left within which an accepted
+// configuration must be in force everywhere.
 constexpr Duration LongPollWait = 2s;
 constexpr Duration ReadSlack = 1500ms;
 
-constexpr Duration MinBackOff = 100ms;
-constexpr Duration MaxBackOff = 2s;
+constexpr Duration MinBackoff = 100ms;
+constexpr Duration MaxBackoff = 2s;
 
 constexpr int RecordsPerRead = 500;
 
-std::string reasonOf(const Result<HttpReply, HttpCallError> &reply)
+std::string failureReason(const Result<HttpReply, HttpCallError> &reply)
 {
     return isOk(reply) ? "status " + std::to_string(valueOf(reply).status) : errorOf(reply).detail;
 }
@@ -34,8 +35,8 @@
     return isOk(reply) && valueOf(reply).status >= from && valueOf(reply).status < to;
 }
 
-// The log will never take this record, for example because it is too large.
-bool isRefusal(const Result<HttpReply, HttpCallError> &reply)
+// The log service will never accept this record, for example because it is too large.
+bool isRejection(const Result<HttpReply, HttpCallError> &reply)
 {
     return hasStatus(reply, 400, 401) || hasStatus(reply, 413, 414) || hasStatus(reply, 422, 423);
 }
@@ -50,15 +51,15 @@
     , m_handlers(std::move(handlers))
     , m_random(static_cast<std::minstd_rand::result_type>(m_settings.seed))
     , m_retryTimer(loop, [this] {
-        m_isWaiting = false;
+        m_isDelayed = false;
         schedule();
     })
 {}
 
 LogClient::~LogClient()
 {
-    if (m_read)
-        m_http.cancel(*m_read);
+    if (m_readCall)
+        m_http.cancel(*m_readCall);
     if (m_appendCall)
         m_http.cancel(*m_appendCall);
 }
@@ -67,8 +68,8 @@
 {
     if (std::exchange(m_isReading, isReading) == isReading)
         return;
-    if (isReading && m_settings.readJitter > Duration::zero() && !m_isWaiting) {
-        m_isWaiting = true;
+    if (isReading && m_settings.readJitter > Duration::zero() && !m_isDelayed) {
+        m_isDelayed = true;
         m_retryTimer.startIn(jitter(m_settings.readJitter));
     }
     schedule();
@@ -79,10 +80,10 @@
     if (m_isSearching ? next < m_search.firstOffset() : next <= m_position)
         return;
     m_position = next;
-    m_isSearching = false; // a feed has brought the state that was searched for
-    if (m_read) {
-        m_http.cancel(*m_read);
-        m_read.reset();
+    m_isSearching = false; // the ledger received its state from another source
+    if (m_readCall) {
+        m_http.cancel(*m_readCall);
+        m_readCall.reset();
     }
     schedule();
 }
@@ -90,46 +91,49 @@
 void LogClient::append(Record record)
 {
     std::string text = encodeRecord(record);
-    m_appends.push_back({std::move(record.appendId), std::move(text)});
+    m_pendingAppends.push_back({std::move(record.appendId), std::move(text)});
     schedule();
 }
 
 bool LogClient::withdraw(const std::string &appendId)
 {
-    const auto it = std::find_if(m_appends.begin(), m_appends.end(),
+    const auto it = std::find_if(m_pendingAppends.begin(), m_pendingAppends.end(),
                                  [&](const auto &pending) { return pending.appendId == appendId; });
-    if (it == m_appends.end())
-        return false; // done, or never asked for
-    const bool isCurrent = it == m_appends.begin();
-    const bool isClear = !it->mayBeInLog && !(isCurrent && m_appendCall);
+    if (it == m_pendingAppends.end())
+        return false; // already in the log, rejected, or never queued
+    const bool isCurrent = it == m_pendingAppends.begin();
+    const bool isProvablyAbsent = !it->mayBeInLog && !(isCurrent && m_appendCall);
     if (isCurrent) {
         if (m_appendCall)
             m_http.cancel(*m_appendCall);
         m_appendCall.reset();
-        m_mustReadToTip = false;
+        m_mustReadToEnd = false;
     }
-    m_appends.erase(it);
+    m_pendingAppends.erase(it);
     schedule();
-    return isClear;
+    return isProvablyAbsent;
 }
 
-// Starts whatever is due. Appends wait for the reading that looks for the current one.
+// Sends the requests that are due. While a read checks whether the first append is in the log, no
+// append is sent.
 void LogClient::schedule()
 {
-    if (m_isWaiting)
+    if (m_isDelayed)
         return;
-    if (!m_read && (m_isReading || m_mustReadToTip))
+    if (!m_readCall && (m_isReading || m_mustReadToEnd))
         startRead();
-    if (!m_appendCall && !m_appends.empty() && !m_mustReadToTip)
+    if (!m_appendCall && !m_pendingAppends.empty() && !m_mustReadToEnd)
         startAppend();
 }
 
 void LogClient::startRead()
 {
-    // The first read after a start, an outage or a found snapshot only looks for the tip.
-    const bool isSearchIdle = m_searchReachedTip && !m_search.hasSnapshot();
+    // A long poll only helps at the end of the log. A read must return at once while that end is
+    // not known, which is after a start or an outage, while it looks for an append, and during a
+    // search until the search has reached the end without finding a snapshot.
+    const bool isSearchIdle = m_searchReachedEnd && !m_search.hasSnapshot();
     const bool isLongPoll
-        = m_isReading && m_isReachable && !m_mustReadToTip && (!m_isSearching || isSearchIdle);
+        = m_isReading && m_isReachable && !m_mustReadToEnd && (!m_isSearching || isSearchIdle);
     const Duration wait = isLongPoll ? LongPollWait : Duration::zero();
     HttpCall call;
     call.url
@@ -137,11 +141,11 @@
           + "&limit=" + std::to_string(RecordsPerRead) + "&wait_ms="
           + std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(wait).count());
     call.timeout = wait + ReadSlack;
-    call.freshConnection = m_backOff > Duration::zero(); // pooled ones may be silent for good
+    call.freshConnection = m_backoff > Duration::zero(); // pooled connections may be dead
     if (m_handlers.onReadStarted)
         m_handlers.onReadStarted();
-    m_read = m_http.start(std::move(call), [this](const Reply &reply) {
-        m_read.reset();
+    m_readCall = m_http.start(std::move(call), [this](const Reply &reply) {
+        m_readCall.reset();
         onReadReply(reply);
         schedule();
     });
@@ -152,7 +156,7 @@
     if (hasStatus(reply, 410, 411)) {
         const auto json = readJson(valueOf(reply).body);
         if (isOk(json) && valueOf(json).isObject() && valueOf(json)["first"].isUInt64()) {
-            succeeded();
+            onCallSucceeded();
             return onTrimmed(LogOffset{valueOf(json)["first"].asUInt64()});
         }
     }
@@ -160,34 +164,35 @@
     if (hasStatus(reply, 200, 201))
         page = parsePage(valueOf(reply).body);
     if (!page)
-        return failed("read", reasonOf(reply));
+        return onCallFailed("read", failureReason(reply));
     if (page->first > m_position)
         return onTrimmed(page->first);
     if (page->next < m_position)
-        return failed("read", "the log ends at " + std::to_string(page->next.value)
-                                  + ", before the position " + std::to_string(m_position.value));
-    succeeded();
-    const bool isWhole = page->records.size() < RecordsPerRead;
+        return onCallFailed("read", "the log ends at offset " + std::to_string(page->next.value)
+                                        + ", before the position "
+                                        + std::to_string(m_position.value));
+    onCallSucceeded();
+    const bool isLastPage = page->records.size() < RecordsPerRead;
     onPage(std::move(*page));
-    if (isWhole && !m_isSearching && m_handlers.onEndRead)
+    if (isLastPage && !m_isSearching && m_handlers.onEndRead)
         m_handlers.onEndRead();
 }
 
 void LogClient::onPage(Page page)
 {
     m_position = page.next;
-    forgetSeenAppends(page.records);
-    const bool isTip = page.records.empty();
+    finishSeenAppends(page.records);
+    const bool isEnd = page.records.empty();
     if (m_isSearching) {
         for (LogRecord &record : page.records)
             m_search.add(std::move(record));
-        if (isTip)
+        if (isEnd)
             finishSearch();
     } else if (!page.records.empty()) {
         m_handlers.onRecords(std::move(page.records), m_position);
     }
-    if (isTip)
-        m_mustReadToTip = false; // an append that was not seen by now is sent again
+    if (isEnd)
+        m_mustReadToEnd = false; // an append that has not been found is sent again
 }
 
 void LogClient::onTrimmed(LogOffset first)
@@ -197,7 +202,7 @@
          "log_trimmed",
          {{"position", std::to_string(m_position.value)}, {"first", std::to_string(first.value)}}});
     m_isSearching = true;
-    m_searchReachedTip = false;
+    m_searchReachedEnd = false;
     m_search.begin(first);
     m_position = first;
 }
@@ -206,9 +211,9 @@
 {
     auto start = m_search.take();
     if (!start) {
-        // The records so far cannot be applied without a state before them. An entry that has the
-        // state writes a snapshot; until then the search goes on with each new record.
-        if (!std::exchange(m_searchReachedTip, true))
+        // The records cannot be applied without the state before them. The search continues with
+        // each new record until an entry that has the state appends a snapshot.
+        if (!std::exchange(m_searchReachedEnd, true))
             writeLog({Severity::Error,
                       "log_without_snapshot",
                       {{"next", std::to_string(m_position.value)}}});
@@ -225,7 +230,7 @@
 
 void LogClient::startAppend()
 {
-    PendingAppend &pending = m_appends.front();
+    PendingAppend &pending = m_pendingAppends.front();
     if (pending.mayBeInLog && m_handlers.hasAppend && m_handlers.hasAppend(pending.appendId)) {
         finishAppend(std::string(pending.appendId));
         return schedule();
@@ -236,8 +241,7 @@
     call.headers["Content-Type"] = "application/json";
     call.body = pending.text;
     call.timeout = m_settings.appendTimeout;
-    // On a reused connection libcurl itself may send the append twice.
-    call.freshConnection = true;
+    call.freshConnection = true; // on a reused connection libcurl may send the append twice
     m_appendCall = m_http.start(std::move(call), [this](const Reply &reply) {
         m_appendCall.reset();
         onAppendReply(reply);
@@ -247,66 +251,66 @@
 
 void LogClient::onAppendReply(const Reply &reply)
 {
-    PendingAppend &pending = m_appends.front();
+    PendingAppend &pending = m_pendingAppends.front();
     if (hasStatus(reply, 200, 300)) {
-        succeeded();
+        onCallSucceeded();
         return finishAppend(std::string(pending.appendId));
     }
-    if (isRefusal(reply)) { // repeating it would block all later appends
+    if (isRejection(reply)) { // retrying it would block all later appends
         writeLog({Severity::Error,
                   "log_append_refused",
-                  {{"append_id", pending.appendId}, {"reason", reasonOf(reply)}}});
+                  {{"append_id", pending.appendId}, {"reason", failureReason(reply)}}});
         return finishAppend(std::string(pending.appendId));
     }
     if (isOk(reply) || errorOf(reply).kind != HttpFailure::NotSent) {
         pending.mayBeInLog = true;
-        m_mustReadToTip = true;
-        if (m_read) { // it may have started before the append took effect
-            m_http.cancel(*m_read);
-            m_read.reset();
+        m_mustReadToEnd = true;
+        if (m_readCall) { // it may have started before the append took effect, so it proves nothing
+            m_http.cancel(*m_readCall);
+            m_readCall.reset();
         }
     }
-    failed("append", reasonOf(reply));
+    onCallFailed("append", failureReason(reply));
 }
 
 void LogClient::finishAppend(const std::string &appendId)
 {
-    const auto it = std::find_if(m_appends.begin(), m_appends.end(),
+    const auto it = std::find_if(m_pendingAppends.begin(), m_pendingAppends.end(),
                                  [&](const auto &pending) { return pending.appendId == appendId; });
-    if (it == m_appends.end())
+    if (it == m_pendingAppends.end())
         return;
-    if (it == m_appends.begin()) {
+    if (it == m_pendingAppends.begin()) {
         if (m_appendCall)
             m_http.cancel(*m_appendCall);
         m_appendCall.reset();
-        m_mustReadToTip = false;
+        m_mustReadToEnd = false;
     }
-    m_appends.erase(it);
+    m_pendingAppends.erase(it);
 }
 
-void LogClient::forgetSeenAppends(const std::vector<LogRecord> &records)
+void LogClient::finishSeenAppends(const std::vector<LogRecord> &records)
 {
-    if (m_appends.empty())
+    if (m_pendingAppends.empty())
         return;
     for (const LogRecord &it : records)
         finishAppend(it.record.appendId);
 }
 
-void LogClient::succeeded()
+void LogClient::onCallSucceeded()
 {
-    m_backOff = Duration::zero();
+    m_backoff = Duration::zero();
     setReachable(true);
 }
 
-void LogClient::failed(std::string_view operation, const std::string &reason)
+void LogClient::onCallFailed(std::string_view operation, const std::string &reason)
 {
     if (m_isReachable)
         writeLog({Severity::Warning,
                   "log_unreachable",
                   {{"operation", std::string(operation)}, {"reason", reason}}});
-    m_backOff = std::clamp(2 * m_backOff, MinBackOff, MaxBackOff);
-    m_isWaiting = true;
-    m_retryTimer.startIn(m_backOff / 2 + jitter(m_backOff));
+    m_backoff = std::clamp(2 * m_backoff, MinBackoff, MaxBackoff);
+    m_isDelayed = true;
+    m_retryTimer.startIn(m_backoff / 2 + jitter(m_backoff));
     setReachable(false);
 }
 
@@ -316,8 +320,8 @@
         return;
     if (isReachable)
         writeLog({Severity::Info, "log_reachable", {}});
-    if (m_handlers.onReachable)
-        m_handlers.onReachable(isReachable);
+    if (m_handlers.onReachableChanged)
+        m_handlers.onReachableChanged(isReachable);
 }
 
 std::optional<LogClient::Page> LogClient::parsePage(const std::string &body) const
@@ -333,7 +337,7 @@
         LogOffset expected = m_position;
         for (const Json::Value &it : array(valueOf(json), "records")) {
             const LogOffset offset{number(it, "offset")};
-            if (offset != expected) // a gap would make this ledger differ from all others
+            if (offset != expected) // after a gap this ledger would differ from all others
                 return std::nullopt;
             ++expected.value;
             auto record = decodeRecord(text(it, "body"));
--- a/src/nodeprocess.cpp
+++ b/src/nodeprocess.cpp
@@ -1,4 +1,4 @@
-// Parts of a process that do not depend on its role.
+// The parts of NodeProcess that do not depend on the type of the node.
 
 #include "nodeprocess.h"
 
@@ -20,30 +20,30 @@
 
 } // namespace
 
-std::string hexOf(Incarnation incarnation)
+std::string formatIncarnation(Incarnation incarnation)
 {
     char buf[17];
     std::snprintf(buf, sizeof(buf), "%016llx", static_cast<unsigned long long>(incarnation.value));
     return buf;
 }
 
-ProcessParts::ProcessParts(ProcessSettings values)
+ProcessContext::ProcessContext(ProcessSettings values)
     : settings(std::move(values))
     , self(randomIncarnation())
-    , instance(hexOf(self))
+    , instance(formatIncarnation(self))
     , tracer(settings.role == Role::Entry ? "entry" : "agent", instance, settings.traceFile)
     , http(loop)
 {
     initLogging(settings.role == Role::Entry ? "entry" : "agent", instance, settings.logLevel);
 }
 
-NodeSettings ProcessParts::nodeSettings(const std::string &listenAddress) const
+NodeSettings ProcessContext::makeNodeSettings(const std::string &listenAddress) const
 {
-    NodeSettings out;
-    out.self
+    NodeSettings result;
+    result.self
         = {self, settings.role, listenAddress, settings.dataCentre, settings.rack, settings.office};
-    out.seed = self.value;
-    return out;
+    result.seed = self.value;
+    return result;
 }
 
 } // namespace cactuscove
--- a/src/nodeprocess.h
+++ b/src/nodeprocess.h
@@ -1,5 +1,7 @@
-// What every long-running role shares: the loop, the listener, links to other processes, the log
-// client, metrics and spans around one node of decisions. Roles derive from it.
+// Base class of the processes of the roles `entry` and `agent`. A node (EntryNode or AgentNode)
+// makes the decisions and does no I/O: it receives inputs with the current time and returns effects
+// in an Outbox. NodeProcess does the I/O around the node with an event loop, an HTTP listener,
+// links to the other processes, a client of the log service, metrics and tracing.
 
 #pragma once
 
@@ -24,15 +26,17 @@
 
 namespace cactuscove {
 
+// Why a process cannot start.
 struct ProcessError
 {
     std::string reason;
 };
 
-// A thousand agents that lose their feeds at once must not read the log at once.
-constexpr Duration AgentReadJitter = std::chrono::seconds(2);
+// Random delay before an agent starts to read the log. It spreads the load on the log service when
+// a thousand agents lose their feeds at once.
+constexpr Duration AgentLogReadJitter = std::chrono::seconds(2);
 
-// The node's side of the shell, without the role's own inputs.
+// The interface of a node that NodeProcess needs for every role.
 template <typename Node>
 concept ProcessNode = requires(Node node, const Node &constNode, const Envelope &envelope,
                                const Message &message, TimePoint now, Outbox &out)
@@ -56,26 +60,31 @@
         } -> std::same_as<const Ledger &>;
 };
 
-// Parts that do not depend on the node's type.
-struct ProcessParts
+// The members of NodeProcess that do not depend on the type of the node.
+struct ProcessContext
 {
-    explicit ProcessParts(ProcessSettings values);
+    // Generates the incarnation of this process and initializes logging.
+    explicit ProcessContext(ProcessSettings values);
 
-    NodeSettings nodeSettings(const std::string &listenAddress) const;
+    // `listenAddress` is the "ip:port" that other processes connect to.
+    NodeSettings makeNodeSettings(const std::string &listenAddress) const;
 
     ProcessSettings settings;
     Incarnation self;     // random and never 0
-    std::string instance; // self as text, for logs and spans
+    std::string instance; // `self` as text, for log lines and spans
     EventLoop loop;
     Metrics metrics;
     Tracer tracer;
-    HttpClient http;
-    std::unique_ptr<HttpServer> server;
-    bool shuttingDown = false;
+    HttpClient http;                    // calls to other processes, the log service and upstreams
+    std::unique_ptr<HttpServer> server; // null until NodeProcess::listen()
+    bool isShuttingDown = false;        // a signal to terminate was received
 };
 
-std::string hexOf(Incarnation incarnation);
+// 16 lower-case hex digits.
+std::string formatIncarnation(Incarnation incarnation);
 
+// A derived class builds its node in makeNode(), calls listen(), and then run() once. All functions
+// run on the thread of run().
 template <ProcessNode Node>
 class NodeProcess
 {
@@ -84,53 +93,58 @@
     NodeProcess &operator=(const NodeProcess &) = delete;
     virtual ~NodeProcess() = default;
 
-    // Returns after a graceful shutdown, or when its time is over; the value is the exit status.
+    // Starts the node and runs the event loop until a graceful shutdown is complete or has timed
+    // out. Returns the exit status of the process: 0, or 1 after a timeout.
     int run()
     {
-        step([this](TimePoint now, Outbox &out) { m_node->start(now, out); });
-        m_parts.loop.run();
+        handleInput([this](TimePoint now, Outbox &out) { m_node->start(now, out); });
+        m_context.loop.run();
         writeLog({Severity::Info, "process_stopped", {}});
-        return m_cutShort ? 1 : 0;
+        return m_shutdownTimedOut ? 1 : 0;
     }
 
 protected:
     explicit NodeProcess(ProcessSettings settings)
-        : m_parts(std::move(settings))
-        , m_timer(m_parts.loop, [this] { onTimer(); })
-        , m_shutdownTimer(m_parts.loop, [this] { cutShort(); })
-        , m_links(m_parts.loop, m_parts.http, m_parts.metrics, m_parts.self, linkHooks())
-        , m_log(m_parts.loop, m_parts.http, logSettings(), logHandlers())
+        : m_context(std::move(settings))
+        , m_timer(m_context.loop, [this] { onTimer(); })
+        , m_shutdownTimer(m_context.loop, [this] { abortShutdown(); })
+        , m_links(m_context.loop, m_context.http, m_context.metrics, m_context.self,
+                  peerLinkHooks())
+        , m_log(m_context.loop, m_context.http, logClientSettings(), logClientHandlers())
     {}
 
-    // Binds the listener, then builds the node, which needs the listener's address.
+    // Binds the HTTP listener and then builds the node, which needs the address of the listener.
+    // SIGTERM and SIGINT begin a graceful shutdown from now on.
     std::optional<ProcessError> listen()
     {
         auto listened = HttpServer::listen(
-            m_parts.loop, m_parts.settings.listen, {},
+            m_context.loop, m_context.settings.listen, {},
             [this](RequestId id, HttpRequest request) { onRequest(id, std::move(request)); },
             [this](RequestId id) { onRequestClosed(id); });
         if (!isOk(listened))
             return ProcessError{errorOf(listened).reason};
-        m_parts.server = std::move(valueOf(listened));
-        const std::string own = m_parts.settings.advertise.empty() ? m_parts.server->address()
-                                                                   : m_parts.settings.advertise;
-        m_node = makeNode(m_parts.nodeSettings(own));
+        m_context.server = std::move(valueOf(listened));
+        const std::string advertised = m_context.settings.advertise.empty()
+                                           ? m_context.server->address()
+                                           : m_context.settings.advertise;
+        m_node = makeNode(m_context.makeNodeSettings(advertised));
         for (const int signal : {SIGTERM, SIGINT})
-            m_parts.loop.onSignal(signal, [this] { beginShutdown(); });
+            m_context.loop.onSignal(signal, [this] { beginShutdown(); });
         writeLog({Severity::Info,
                   "process_started",
-                  {{"listen", m_parts.server->address()},
-                   {"data_centre", m_parts.settings.dataCentre},
+                  {{"listen", m_context.server->address()},
+                   {"data_centre", m_context.settings.dataCentre},
                    {"version", std::string(version())}}});
         return std::nullopt;
     }
 
-    // Runs one input of the node and carries out its effects.
+    // Passes one input to the node and carries out the effects that it returns. `input` is called
+    // once as input(now, outbox). Afterwards the timer is set for the node's next deadline.
     template <typename Input>
-    void step(Input input)
+    void handleInput(Input input)
     {
         Outbox out;
-        input(m_parts.loop.now(), out);
+        input(m_context.loop.now(), out);
         for (Effect &it : out.take())
             std::visit([this](auto &effect) { perform(effect); }, it);
         const LogOffset next = m_node->ledger().next();
@@ -138,87 +152,93 @@
         if (std::exchange(m_ledgerNext, next) != next)
             onLedgerChange();
         m_timer.startAt(m_node->nextTimer());
-        checkShutdown();
+        finishShutdownIfDone();
     }
 
     virtual std::unique_ptr<Node> makeNode(NodeSettings settings) = 0;
+    // A request whose path is not one of /rpc, /healthz, /readyz and /metrics.
     virtual void handleRequest(RequestId id, HttpRequest request) = 0;
-    virtual void onRequestClosed(RequestId) {}
-    virtual void onLedgerChange() {}
-    virtual void onLogReadStarted() {}
+    virtual void onRequestClosed(RequestId) {} // a request has ended, answered or not
+    virtual void onLedgerChange() {}           // the ledger of the node has advanced
+    virtual void onLogReadStarted() {}         // as in LogClientHandlers
     virtual void onLogEndRead() {}
     virtual void onLogReachable(bool) {}
-    virtual void updateRoleMetrics() = 0;
+    virtual void updateRoleMetrics() = 0; // sets the gauges of the role before metrics are served
+    // Effects that only one of the roles has.
     virtual void perform(AnswerCaller &) {}
     virtual void perform(StartOnUpstream &) {}
     virtual void perform(StopOnUpstream &) {}
 
+    // Answers a request and counts it. `route` is the label of the metric.
     void respond(RequestId id, const std::string &route, HttpResponse response)
     {
-        m_parts.metrics.add("cactuscove_http_requests_total",
-                            {{"route", route}, {"status", std::to_string(response.status)}});
-        m_parts.server->respond(id, std::move(response));
+        m_context.metrics.add("cactuscove_http_requests_total",
+                              {{"route", route}, {"status", std::to_string(response.status)}});
+        m_context.server->respond(id, std::move(response));
     }
 
-    ProcessParts m_parts;
-    std::unique_ptr<Node> m_node;
-    Timer m_timer;
-    Timer m_shutdownTimer;
+    ProcessContext m_context;
+    std::unique_ptr<Node> m_node; // null until listen()
+    Timer m_timer;                // runs at m_node->nextTimer()
+    Timer m_shutdownTimer;        // aborts the graceful shutdown
     PeerLinks m_links;
     LogClient m_log;
 
 private:
     void perform(Send &effect) { m_links.send(effect.to, std::move(effect.message)); }
     void perform(Append &effect) { m_log.append(std::move(effect.record)); }
-    void perform(EmitSpan &effect) { m_parts.tracer.finish(effect); }
+    void perform(EmitSpan &effect) { m_context.tracer.finishSpan(effect); }
     void perform(LogEvent &effect)
     {
-        m_parts.metrics.add("cactuscove_events_total", {{"event", effect.name}});
+        m_context.metrics.add("cactuscove_events_total", {{"event", effect.name}});
         writeLog(effect);
     }
 
-    PeerLinkHooks linkHooks()
+    PeerLinkHooks peerLinkHooks()
     {
-        return {
-            [this](Incarnation to) -> std::optional<std::string> {
-                const MemberState *member = m_node->ledger().member(to);
-                if (!member)
-                    return std::nullopt;
-                return member->member.address;
-            },
-            [this] { return m_node->loads(m_parts.loop.now()); },
-            [this](const Envelope &envelope) {
-                step([&](TimePoint now, Outbox &out) { m_node->onEnvelope(envelope, now, out); });
-            },
-            [this](Incarnation to, const Message &message) {
-                step([&](TimePoint now, Outbox &out) {
-                    m_node->onUndelivered(to, message, now, out);
-                });
-            }};
+        return {[this](Incarnation to) -> std::optional<std::string> {
+                    const MemberState *member = m_node->ledger().member(to);
+                    if (!member)
+                        return std::nullopt;
+                    return member->member.address;
+                },
+                [this] { return m_node->loads(m_context.loop.now()); },
+                [this](const Envelope &envelope) {
+                    handleInput([&](TimePoint now, Outbox &out) {
+                        m_node->onEnvelope(envelope, now, out);
+                    });
+                },
+                [this](Incarnation to, const Message &message) {
+                    handleInput([&](TimePoint now, Outbox &out) {
+                        m_node->onUndelivered(to, message, now, out);
+                    });
+                }};
     }
 
-    LogClientSettings logSettings() const
+    LogClientSettings logClientSettings() const
     {
         LogClientSettings settings;
-        settings.url = m_parts.settings.logUrl;
-        settings.stream = m_parts.settings.logStream;
-        settings.seed = m_parts.self.value;
-        settings.readJitter = m_parts.settings.role == Role::Agent ? AgentReadJitter : Duration{};
+        settings.url = m_context.settings.logUrl;
+        settings.stream = m_context.settings.logStream;
+        settings.seed = m_context.self.value;
+        settings.readJitter
+            = m_context.settings.role == Role::Agent ? AgentLogReadJitter : Duration{};
         return settings;
     }
 
-    LogClientHandlers logHandlers()
+    LogClientHandlers logClientHandlers()
     {
         LogClientHandlers handlers;
         handlers.onRecords = [this](const std::vector<LogRecord> &records, LogOffset next) {
-            step(
+            handleInput(
                 [&](TimePoint now, Outbox &out) { m_node->onLogRecords(records, next, now, out); });
         };
         handlers.onSnapshot = [this](const SnapshotRecord &snapshot) {
-            step([&](TimePoint now, Outbox &out) { m_node->onLogSnapshot(snapshot, now, out); });
+            handleInput(
+                [&](TimePoint now, Outbox &out) { m_node->onLogSnapshot(snapshot, now, out); });
         };
-        handlers.onReachable = [this](bool isReachable) {
-            m_parts.metrics.set("cactuscove_log_reachable", {}, isReachable);
+        handlers.onReachableChanged = [this](bool isReachable) {
+            m_context.metrics.set("cactuscove_log_reachable", {}, isReachable);
             onLogReachable(isReachable);
         };
         handlers.onReadStarted = [this] { onLogReadStarted(); };
@@ -230,13 +250,13 @@
 
     void onTimer()
     {
-        step([this](TimePoint now, Outbox &out) { m_node->onTimer(now, out); });
+        handleInput([this](TimePoint now, Outbox &out) { m_node->onTimer(now, out); });
     }
 
     void onRequest(RequestId id, HttpRequest request)
     {
         if (request.path == "/rpc" && request.method == "POST")
-            m_parts.server->respond(id, m_links.onRequest(request));
+            m_context.server->respond(id, m_links.onRequest(request));
         else if (request.path == "/healthz")
             respond(id, "/healthz", {200, "{\"status\":\"ok\"}\n"});
         else if (request.path == "/readyz")
@@ -247,9 +267,10 @@
             handleRequest(id, std::move(request));
     }
 
+    // 200 while the process is registered in the log and is not shutting down, else 503.
     HttpResponse readiness() const
     {
-        if (m_parts.shuttingDown)
+        if (m_context.isShuttingDown)
             return {503, "{\"status\":\"shutting_down\"}\n"};
         if (!m_node->isActive())
             return {503, "{\"status\":\"not_registered\"}\n"};
@@ -259,14 +280,14 @@
     std::string metricsText()
     {
         const Ledger &ledger = m_node->ledger();
-        Metrics &metrics = m_parts.metrics;
-        std::map<std::string, std::pair<int, int>> upAndDown{{"entry", {}}, {"agent", {}}};
+        Metrics &metrics = m_context.metrics;
+        std::map<std::string, std::pair<int, int>> memberCounts{{"entry", {}}, {"agent", {}}};
         for (const auto &[incarnation, it] : ledger.members()) {
-            auto &[up, down] = upAndDown[it.member.role == Role::Entry ? "entry" : "agent"];
+            auto &[up, down] = memberCounts[it.member.role == Role::Entry ? "entry" : "agent"];
             up += it.isUp();
             down += it.isDown;
         }
-        for (const auto &[role, counts] : upAndDown) {
+        for (const auto &[role, counts] : memberCounts) {
             metrics.set("cactuscove_up_members", {{"role", role}}, counts.first);
             metrics.set("cactuscove_down_members", {{"role", role}}, counts.second);
         }
@@ -274,52 +295,53 @@
         metrics.set("cactuscove_config_revision", {},
                     ledger.config() ? static_cast<double>(ledger.config()->revision.value) : 0);
         metrics.set("cactuscove_open_requests", {},
-                    static_cast<double>(m_parts.server->openRequests()));
+                    static_cast<double>(m_context.server->openRequests()));
         updateRoleMetrics();
         return metrics.text();
     }
 
     void beginShutdown()
     {
-        if (m_parts.shuttingDown)
+        if (m_context.isShuttingDown)
             return;
-        m_parts.shuttingDown = true;
+        m_context.isShuttingDown = true;
         writeLog({Severity::Info, "shutdown_started", {}});
-        m_shutdownTimer.startIn(m_parts.settings.shutdownTimeout);
-        step([this](TimePoint now, Outbox &out) { m_node->beginShutdown(now, out); });
+        m_shutdownTimer.startIn(m_context.settings.shutdownTimeout);
+        handleInput([this](TimePoint now, Outbox &out) { m_node->beginShutdown(now, out); });
     }
 
-    // The process ends once the node has nothing left to do and its last messages are out.
-    void checkShutdown()
+    // Ends the shutdown once the node has nothing left to do and the log has its last records.
+    void finishShutdownIfDone()
     {
-        if (!m_parts.shuttingDown || m_stopped || !m_node->isShutdownComplete()
+        if (!m_context.isShuttingDown || m_isStopping || !m_node->isShutdownComplete()
             || m_log.pendingAppends() > 0)
             return;
-        m_stopped = true;
-        m_parts.server->stopAccepting();
-        awaitQuiet();
+        m_isStopping = true;
+        m_context.server->stopAccepting();
+        stopWhenIdle();
     }
 
-    void awaitQuiet()
+    // Stops the event loop after the last messages have been sent and all requests answered.
+    void stopWhenIdle()
     {
         if (!m_links.hasPending() && m_links.openCalls() == 0
-            && m_parts.server->openRequests() == 0)
-            m_parts.loop.stop();
+            && m_context.server->openRequests() == 0)
+            m_context.loop.stop();
         else
-            m_quietTimer.startIn(std::chrono::milliseconds(10));
+            m_idleTimer.startIn(std::chrono::milliseconds(10));
     }
 
-    void cutShort()
+    void abortShutdown()
     {
         writeLog({Severity::Error, "shutdown_cut_short", {}});
-        m_cutShort = true;
-        m_parts.loop.stop();
+        m_shutdownTimedOut = true;
+        m_context.loop.stop();
     }
 
-    Timer m_quietTimer{m_parts.loop, [this] { awaitQuiet(); }};
-    LogOffset m_ledgerNext;
-    bool m_stopped = false;
-    bool m_cutShort = false;
+    Timer m_idleTimer{m_context.loop, [this] { stopWhenIdle(); }};
+    LogOffset m_ledgerNext;    // m_node->ledger().next() after the newest input
+    bool m_isStopping = false; // accepts no connections any more and waits for the last messages
+    bool m_shutdownTimedOut = false;
 };
 
 } // namespace cactuscove
--- a/src/peerlinks.cpp
+++ b/src/peerlinks.cpp
@@ -1,4 +1,4 @@
-// Envelopes over JSON-RPC and HTTP.
+// Sends and receives envelopes by JSON-RPC over HTTP.
 
 #include "peerlinks.h"
 
@@ -16,15 +16,16 @@
 constexpr char DeliverMethod[] = "deliver";
 constexpr unsigned MaxOpenCallsPerPeer = 4;
 constexpr std::size_t MaxMessagesPerEnvelope = 512;
-// A silent peer must not grow the queue without bound; senders repeat from their own timers.
-constexpr std::size_t MaxPendingPerPeer = 8192;
+// The queue for a peer that does not respond must be bounded. Dropped messages are repeated by
+// their senders.
+constexpr std::size_t MaxQueuedMessagesPerPeer = 8192;
 constexpr std::chrono::seconds CallTimeout{2};
-// Digests per envelope: both fleets of today (22 agents) fit. Without a limit the bytes of an
-// entry's feeds grow with the square of the number of agents.
+// Without this limit the bytes that an entry sends to its agents grow with the square of their
+// number. The load reports of both present fleets (22 agents) fit into one envelope.
 constexpr std::size_t MaxLoadsPerEnvelope = 24;
-constexpr int GoneStatus = 410; // another incarnation answers at this address
+constexpr int GoneStatus = 410; // the envelope is addressed to another incarnation
 
-// Names in the order of the alternatives of Message.
+// Values of the label `type` of the metrics, in the order of the alternatives of Message.
 constexpr const char *MessageNames[] = {
     "Feed",           "FeedAck",       "Probe",         "ProbeAck", "SubmitJob",   "JobAccepted",
     "JobAnswer",      "SubmitRefused", "CancelJob",     "QueryJob", "JobNotFound", "StartTask",
@@ -33,6 +34,7 @@
     "TransferAck",    "AdoptWitness",  "AdoptAck"};
 static_assert(std::size(MessageNames) == std::variant_size_v<Message>);
 
+// Value of the label `result` of cactuscove_peer_calls_total.
 const char *resultName(HttpFailure kind)
 {
     switch (kind) {
@@ -59,18 +61,18 @@
         result = Json::Value(Json::objectValue);
         const auto decoded = decodeEnvelope(params);
         if (!isOk(decoded)) {
-            m_status = 400;
+            m_responseStatus = 400;
             result["error"] = errorOf(decoded).reason;
             return;
         }
         const Envelope &envelope = valueOf(decoded);
         if (envelope.to != m_self) {
-            m_status = GoneStatus;
+            m_responseStatus = GoneStatus;
             return;
         }
         receive(envelope);
         result = encodeEnvelope(
-            envelopeFor(envelope.from, std::exchange(m_peers[envelope.from].pending, {})));
+            makeEnvelope(envelope.from, std::exchange(m_peers[envelope.from].pending, {})));
     })
 {
     m_loop.atIterationEnd([this] { flush(); });
@@ -79,7 +81,7 @@
 void PeerLinks::send(Incarnation to, Message message)
 {
     auto &pending = m_peers[to].pending;
-    if (pending.size() < MaxPendingPerPeer)
+    if (pending.size() < MaxQueuedMessagesPerPeer)
         pending.push_back(std::move(message));
 }
 
@@ -91,13 +93,13 @@
 
 HttpResponse PeerLinks::onRequest(const HttpRequest &request)
 {
-    m_status = 200;
+    m_responseStatus = 200;
     m_metrics.add("cactuscove_peer_bytes_total", {{"direction", "received"}},
                   static_cast<double>(request.body.size()));
     std::string body = m_dispatcher.handle(request.body);
     m_metrics.add("cactuscove_peer_bytes_total", {{"direction", "sent"}},
                   static_cast<double>(body.size()));
-    return {m_status, std::move(body)};
+    return {m_responseStatus, std::move(body)};
 }
 
 void PeerLinks::flush()
@@ -107,30 +109,31 @@
         if (!peer.pending.empty() && peer.openCalls < MaxOpenCallsPerPeer)
             ready.push_back(to);
     for (const Incarnation to : ready)
-        post(to, m_peers[to]);
+        sendEnvelope(to, m_peers[to]);
 }
 
-// The next digests in turn, so that every peer sees every agent's load over several envelopes.
-std::vector<LoadReport> PeerLinks::nextLoads()
+// Returns all load reports, or the next ones in turn if there are too many, so that a peer receives
+// the load of every agent within several envelopes.
+std::vector<LoadReport> PeerLinks::nextLoadReports()
 {
     std::vector<LoadReport> all = m_hooks.loads();
     if (all.size() <= MaxLoadsPerEnvelope)
         return all;
-    std::vector<LoadReport> some;
+    std::vector<LoadReport> selected;
     for (std::size_t n = 0; n < MaxLoadsPerEnvelope; ++n)
-        some.push_back(std::move(all[(m_loadCursor + n) % all.size()]));
+        selected.push_back(std::move(all[(m_loadCursor + n) % all.size()]));
     m_loadCursor = (m_loadCursor + MaxLoadsPerEnvelope) % all.size();
-    return some;
+    return selected;
 }
 
-Envelope PeerLinks::envelopeFor(Incarnation to, std::vector<Message> messages)
+Envelope PeerLinks::makeEnvelope(Incarnation to, std::vector<Message> messages)
 {
     for (const Message &it : messages)
         m_metrics.add("cactuscove_messages_sent_total", {{"type", MessageNames[it.index()]}});
-    return {m_self, to, nextLoads(), std::move(messages)};
+    return {m_self, to, nextLoadReports(), std::move(messages)};
 }
 
-void PeerLinks::post(Incarnation to, Peer &peer)
+void PeerLinks::sendEnvelope(Incarnation to, Peer &peer)
 {
     std::vector<Message> batch;
     if (peer.pending.size() <= MaxMessagesPerEnvelope) {
@@ -140,7 +143,7 @@
         batch.assign(std::move_iterator(peer.pending.begin()), std::move_iterator(end));
         peer.pending.erase(peer.pending.begin(), end);
     }
-    Envelope envelope = envelopeFor(to, std::move(batch));
+    Envelope envelope = makeEnvelope(to, std::move(batch));
     const std::optional<std::string> address = m_hooks.addressOf(to);
     if (!address) {
         m_loop.post([this, sent = std::move(envelope)] { reportUndelivered(sent); });
@@ -200,7 +203,7 @@
 {
     for (const Message &it : envelope.messages)
         m_metrics.add("cactuscove_messages_received_total", {{"type", MessageNames[it.index()]}});
-    m_hooks.received(envelope);
+    m_hooks.onReceived(envelope);
 }
 
 void PeerLinks::reportUndelivered(const Envelope &sent)
@@ -208,7 +211,7 @@
     m_metrics.add("cactuscove_messages_undelivered_total", {},
                   static_cast<double>(sent.messages.size()));
     for (const Message &it : sent.messages)
-        m_hooks.undelivered(sent.to, it);
+        m_hooks.onUndelivered(sent.to, it);
 }
 
 } // namespace cactuscove
--- a/src/peerlinks.h
+++ b/src/peerlinks.h
@@ -1,5 +1,7 @@
-// Messages to and from the other processes: one envelope per destination and loop turn, as a
-// JSON-RPC call over HTTP. Replies ride back in the HTTP response.
+// Exchange of messages with the other processes. The messages that one iteration of the event loop
+// queues for a destination are sent as one envelope, in a JSON-RPC call over HTTP. The HTTP
+// response carries the messages that the receiver has for the sender. Messages may be lost; their
+// senders repeat them. Each process has one PeerLinks, owned by NodeProcess.
 
 #pragma once
 
@@ -18,13 +20,16 @@
 
 namespace cactuscove {
 
-// What the links need from the process that owns them.
+// Functions that the owner of a PeerLinks supplies. All must be set.
 struct PeerLinkHooks
 {
+    // "ip:port" of a process; nothing if it is not known.
     std::function<std::optional<std::string>(Incarnation)> addressOf;
-    std::function<std::vector<LoadReport>()> loads;
-    std::function<void(const Envelope &)> received;
-    std::function<void(Incarnation to, const Message &)> undelivered;
+    std::function<std::vector<LoadReport>()> loads;   // to be attached to envelopes
+    std::function<void(const Envelope &)> onReceived; // an envelope for this process has arrived
+    // A message was provably not delivered: the address is not known, no byte was sent, or another
+    // process answered at the address. A message that may have arrived is not reported.
+    std::function<void(Incarnation to, const Message &)> onUndelivered;
 };
 
 class PeerLinks
@@ -33,30 +38,32 @@
     PeerLinks(EventLoop &loop, HttpClient &client, Metrics &metrics, Incarnation self,
               PeerLinkHooks hooks);
 
+    // Queues a message. It is dropped without a report if 8192 messages wait for the destination.
     void send(Incarnation to, Message message);
-    // Handles POST /rpc.
+    // Handles POST /rpc. The response has status 400 for a malformed envelope, and 410 for one that
+    // is addressed to another incarnation.
     HttpResponse onRequest(const HttpRequest &request);
 
-    std::size_t openCalls() const { return m_openCalls; }
-    bool hasPending() const;
+    std::size_t openCalls() const { return m_openCalls; } // HTTP calls without a response yet
+    bool hasPending() const;                              // whether any message is queued
 
 private:
     struct Peer
     {
-        std::vector<Message> pending;
+        std::vector<Message> pending; // not sent yet, oldest first
         unsigned openCalls = 0;
-        // Set after a failure: other cached connections to the peer may be silent as well.
+        // Set after a failed call, because pooled connections to the peer may be dead as well.
         bool needsFreshConnection = false;
     };
 
-    void flush();
-    void post(Incarnation to, Peer &peer);
+    void flush(); // at the end of each iteration of the event loop
+    void sendEnvelope(Incarnation to, Peer &peer);
     void onReply(Incarnation to, const Envelope &sent, TimePoint startedAt,
                  Result<HttpReply, HttpCallError> result);
     void receive(const Envelope &envelope);
     void reportUndelivered(const Envelope &sent);
-    Envelope envelopeFor(Incarnation to, std::vector<Message> messages);
-    std::vector<LoadReport> nextLoads();
+    Envelope makeEnvelope(Incarnation to, std::vector<Message> messages);
+    std::vector<LoadReport> nextLoadReports();
 
     EventLoop &m_loop;
     HttpClient &m_client;
@@ -64,10 +71,10 @@
     Incarnation m_self;
     PeerLinkHooks m_hooks;
     std::unordered_map<Incarnation, Peer> m_peers;
-    std::size_t m_openCalls = 0;
-    std::size_t m_loadCursor = 0; // of the next digest to send
+    std::size_t m_openCalls = 0;  // to all peers
+    std::size_t m_loadCursor = 0; // index of the next load report to send
     RpcDispatcher m_dispatcher;
-    int m_status = 200; // of the request that the dispatcher is handling
+    int m_responseStatus = 200; // HTTP status of the response that the dispatcher is building
 };
 
 } // namespace cactuscove
--- a/src/tracing.cpp
+++ b/src/tracing.cpp
@@ -1,4 +1,4 @@
-// Trace context and span output.
+// Trace context parsing and span output.
 
 #include "tracing.h"
 
@@ -27,13 +27,13 @@
     return text.find_first_not_of('0') == std::string_view::npos;
 }
 
-// Spans carry wall-clock times; decisions use the steady clock.
+// Spans need wall-clock times, but all times in the process are of the steady clock.
 std::string unixNanoseconds(TimePoint at)
 {
     using namespace std::chrono;
     const auto age = steady_clock::now() - at;
-    const auto wall = system_clock::now().time_since_epoch() - age;
-    return std::to_string(duration_cast<nanoseconds>(wall).count());
+    const auto sinceEpoch = system_clock::now().time_since_epoch() - age;
+    return std::to_string(duration_cast<nanoseconds>(sinceEpoch).count());
 }
 
 Json::Value attribute(const std::string &key, const std::string &value)
@@ -48,7 +48,8 @@
 
 std::optional<TraceContext> parseTraceparent(std::string_view header)
 {
-    // version "-" trace-id "-" parent-id "-" flags; later versions may append more.
+    // The format is version-traceId-spanId-flags with 2, 32, 16 and 2 hex digits, 55 characters in
+    // total. Versions after 00 may append more fields.
     if (header.size() < 55 || header[2] != '-' || header[35] != '-' || header[52] != '-')
         return std::nullopt;
     const std::string_view version = header.substr(0, 2);
@@ -83,12 +84,12 @@
     return out;
 }
 
-TraceContext Tracer::child(const TraceContext *parent)
+TraceContext Tracer::startSpan(const TraceContext *parent)
 {
     return {parent ? parent->traceId : randomHex(TraceIdDigits), randomHex(SpanIdDigits)};
 }
 
-void Tracer::finish(const EmitSpan &span)
+void Tracer::finishSpan(const EmitSpan &span)
 {
     if (!m_file.is_open())
         return;
--- a/src/tracing.h
+++ b/src/tracing.h
@@ -1,4 +1,5 @@
-// Spans: W3C trace context on every hop, finished spans as OTLP/JSON lines.
+// Distributed tracing: reads and writes the W3C trace context that messages and HTTP requests
+// carry, and writes finished spans to a file as OTLP/JSON lines.
 
 #pragma once
 
@@ -14,19 +15,25 @@
 
 namespace cactuscove {
 
-// The value of a `traceparent` header; nothing if it is malformed.
+// Parses the value of a `traceparent` header. Returns std::nullopt if it is malformed or one of its
+// ids is all zeros.
 std::optional<TraceContext> parseTraceparent(std::string_view header);
+// Formats the value of a `traceparent` header, version 00 with the flag `sampled` set.
 std::string formatTraceparent(const TraceContext &context);
 
+// Generates the ids of spans and writes finished spans. Each process has one tracer.
 class Tracer
 {
 public:
-    // `path` is empty if spans are not written.
+    // `service` and `instance` name the process in each span. Spans are appended to the file
+    // `path`; they are discarded if it is empty or cannot be opened.
     Tracer(std::string service, std::string instance, const std::string &path);
 
-    // A new span below `parent`; without one, the first span of a new trace.
-    TraceContext child(const TraceContext *parent);
-    void finish(const EmitSpan &span);
+    // Returns the ids of a new child span of `parent`, or of the root span of a new trace if
+    // `parent` is null. Writes nothing.
+    TraceContext startSpan(const TraceContext *parent);
+    // Writes a finished span as one line.
+    void finishSpan(const EmitSpan &span);
 
 private:
     std::string randomHex(std::size_t digits);
@@ -34,7 +41,7 @@
     std::string m_service;
     std::string m_instance;
     std::ofstream m_file;
-    Random m_random; // ids must be unique and need not be unpredictable
+    Random m_random; // the ids must be unique, but not unpredictable
 };
 
 } // namespace cactuscove
--- a/tests/jsonrpc_test.cpp
+++ b/tests/jsonrpc_test.cpp
@@ -1,4 +1,4 @@
-// JSON-RPC encoding through libjsonrpccpp.
+// JSON-RPC requests and responses.
 
 #include "jsonrpc.h"
 
@@ -22,7 +22,7 @@
     EXPECT_EQ(result["echo"][0].asString(), "a");
 }
 
-// A peer that sends garbage must get an error response and must not stop the process.
+// A peer that sends malformed text must get an error response and must not end the process.
 TEST(JsonRpc, MalformedRequestYieldsAnErrorResponse)
 {
     RpcDispatcher dispatcher("deliver", [](const Json::Value &, Json::Value &) {});
--- a/tests/logclient_test.cpp
+++ b/tests/logclient_test.cpp
@@ -1,4 +1,5 @@
-// Reading and appending against the log stand-in, with the faults of the platform's log.
+// Reads and appends of LogClient against a log stand-in that injects the faults of the platform's
+// log service.
 
 #include "ledger.h"
 #include "logclient.h"
@@ -23,7 +24,7 @@
 class LogClientTest : public testing::Test
 {
 protected:
-    // One process: a ledger behind a client.
+    // A client with the ledger that its records are applied to, as in one process.
     struct Reader
     {
         Reader(EventLoop &loop, HttpClient &http, const std::string &address)
@@ -64,7 +65,7 @@
         return reader;
     }
 
-    // Runs the loop until the condition holds.
+    // Runs the loop until the condition holds, at most for `limit`. Returns whether it holds.
     bool runUntil(const std::function<bool()> &condition, Duration limit = 10s)
     {
         const TimePoint end = loop.now() + limit;
@@ -76,12 +77,13 @@
         return condition();
     }
 
-    std::size_t copiesOf(const std::string &appendId)
+    // Number of records in the log with this append id.
+    std::size_t countRecords(const std::string &appendId)
     {
-        std::size_t copies = 0;
+        std::size_t count = 0;
         for (const std::string &text : log->records(Stream))
-            copies += valueOf(decodeRecord(text)).appendId == appendId ? 1 : 0;
-        return copies;
+            count += valueOf(decodeRecord(text)).appendId == appendId ? 1 : 0;
+        return count;
     }
 
     EventLoop loop;
@@ -102,23 +104,24 @@
     EXPECT_EQ(b->client.position(), LogOffset{20});
 }
 
-// A reply that is lost after the append took effect must not lead to a second record while the
-// first can be read back.
+// If the reply to an append is lost after the append took effect, the client must find the record
+// in the log and must not append it again.
 TEST_F(LogClientTest, LostReplyIsReadBack)
 {
-    for (const bool isReading : {true, false}) { // agents do not poll
+    for (const bool isReading : {true, false}) { // agents with a feed do not read the log
         const std::string id = isReading ? "reading" : "idle";
         const auto reader = makeReader(isReading);
         log->faults().dropReplies = 1;
         reader->client.append(retire(id));
         reader->client.append(retire(id + "-next"));
         ASSERT_TRUE(runUntil([&] { return reader->client.pendingAppends() == 0; }));
-        EXPECT_EQ(copiesOf(id), 1U);
-        EXPECT_EQ(copiesOf(id + "-next"), 1U);
+        EXPECT_EQ(countRecords(id), 1U);
+        EXPECT_EQ(countRecords(id + "-next"), 1U);
     }
 }
 
-// An append that takes effect after its repetition leaves two records, and only one may count.
+// An append that takes effect after it was repeated leaves two records with one append id. The
+// second one must have no effect.
 TEST_F(LogClientTest, LateCopyOfATimedOutAppendHasNoEffect)
 {
     const auto reader = makeReader();
@@ -131,12 +134,12 @@
     reader->client.append({"s", SuspectRecord{Incarnation{1}, Incarnation{2}}});
     ASSERT_TRUE(runUntil([&] { return reader->client.pendingAppends() == 0; }, 20s));
     log->append(Stream, encodeRecord({"again", RegisterRecord{agent}}));
-    ASSERT_TRUE(runUntil([&] { return copiesOf("s") == 2; }, 20s));
+    ASSERT_TRUE(runUntil([&] { return countRecords("s") == 2; }, 20s));
     ASSERT_TRUE(runUntil([&] { return reader->ledger.next() == LogOffset{5}; }));
     EXPECT_TRUE(reader->ledger.isUp(Incarnation{2}));
 }
 
-// During an outage appends must wait, and the reader must notice both its start and its end.
+// During an outage appends must be kept, and the client must report its start and its end.
 TEST_F(LogClientTest, AppendsAndReadsGoOnAfterAnOutage)
 {
     const auto reader = makeReader();
@@ -147,11 +150,12 @@
     EXPECT_EQ(reader->client.pendingAppends(), 1U);
     log->faults().down = false;
     ASSERT_TRUE(runUntil([&] { return reader->ledger.hasAppend("a"); }));
-    EXPECT_EQ(copiesOf("a"), 1U);
+    EXPECT_EQ(countRecords("a"), 1U);
     EXPECT_EQ(reader->reachable, (std::vector{true, false, true}));
 }
 
-// An operator may be told that nothing happened only if the record was never sent.
+// withdraw() must only return true if the record was never sent, because an operator is then told
+// that nothing has changed.
 TEST_F(LogClientTest, WithdrawnAppendIsClearOnlyIfNeverSent)
 {
     const auto reader = makeReader(false);
@@ -163,8 +167,8 @@
     EXPECT_EQ(reader->client.pendingAppends(), 0U);
 }
 
-// A gap in the offsets tells a reader that a record is missing, so text that is no record must
-// still be counted.
+// Readers take a gap in the offsets for a missing record, so malformed text must still advance the
+// offset.
 TEST_F(LogClientTest, MalformedRecordsAreCountedAndSkipped)
 {
     log->append(Stream, "garbage");
@@ -175,7 +179,8 @@
     EXPECT_TRUE(reader->ledger.hasAppend("a"));
 }
 
-// Until a usable snapshot exists, a reader of a trimmed log knows nothing for certain.
+// A reader of a trimmed log must not build a state without a usable snapshot: one that is intact
+// and has all later records in the log.
 TEST_F(LogClientTest, ReaderOfATrimmedLogWaitsForAUsableSnapshot)
 {
     Ledger full;
@@ -189,7 +194,7 @@
     append(retire("3"));
     append({"4", old}); // needs record 1, which is trimmed
     append({"5", SnapshotRecord{LogOffset{3}, "damaged"}});
-    append({"6", SnapshotRecord{LogOffset{99}, old.state}}); // names the future
+    append({"6", SnapshotRecord{LogOffset{99}, old.state}}); // of an offset beyond its own
     log->faults().retain = 4;
     append(retire("7"));
     const auto reader = makeReader();
@@ -200,7 +205,8 @@
     EXPECT_EQ(reader->ledger.snapshot().state, full.snapshot().state);
 }
 
-// A reader that fell behind the trimmed start must not go on with a hole in its state.
+// A reader whose position was trimmed from the log must restart from a snapshot and must not skip
+// the records that it missed.
 TEST_F(LogClientTest, ReaderThatFellBehindRestartsFromASnapshot)
 {
     const auto fresh = makeReader();
@@ -222,7 +228,7 @@
     EXPECT_EQ(behind->ledger.snapshot().state, fresh->ledger.snapshot().state);
 }
 
-// The state that a search ends with must be that of a reader who read everything.
+// The state after a search for a snapshot must equal the state of a reader that read the whole log.
 RC_GTEST_PROP(SnapshotSearchProperty, StartsLikeAFullReader, ())
 {
     const auto size = *rc::gen::inRange<std::uint64_t>(1, 40);
--- a/tests/tracing_test.cpp
+++ b/tests/tracing_test.cpp
@@ -1,4 +1,4 @@
-// W3C trace context and span output.
+// Parsing of the W3C trace context and output of spans.
 
 #include "tracing.h"
 
@@ -21,7 +21,8 @@
     EXPECT_EQ(formatTraceparent(*context), Valid);
 }
 
-// A malformed header from outside must start a new trace and must not reach other processes.
+// A malformed header of a caller must be ignored, so that a new trace starts, and must not be
+// passed on to other processes.
 TEST(Tracing, RefusesMalformedTraceparent)
 {
     for (const char *header :
@@ -39,11 +40,12 @@
         = std::filesystem::temp_directory_path() / ("cactuscove-spans-" + std::to_string(getpid()));
     {
         Tracer tracer("agent", "1", path.string());
-        const TraceContext root = tracer.child(nullptr);
-        const TraceContext child = tracer.child(&root);
+        const TraceContext root = tracer.startSpan(nullptr);
+        const TraceContext child = tracer.startSpan(&root);
         EXPECT_EQ(root.traceId, child.traceId);
         EXPECT_NE(root.spanId, child.spanId);
-        tracer.finish({"upstream.run", child, root.spanId, TimePoint{}, TimePoint{}, {{"a", "b"}}});
+        tracer.finishSpan(
+            {"upstream.run", child, root.spanId, TimePoint{}, TimePoint{}, {{"a", "b"}}});
     }
     std::ifstream file(path);
     Json::Value line;
