--- a/src/callerapi.cpp
+++ b/src/callerapi.cpp
@@ -26,7 +26,8 @@
 constexpr std::size_t MaxIdBytes = 128;
 constexpr std::int64_t DefaultDeadlineMs = 30'000;
 constexpr std::int64_t MaxDeadlineMs = 600'000;
-constexpr std::int64_t MaxDeclaredMs = 3'600'000; // only a hint; the limit keeps sums small
+// A declared run time is only a hint; the limit keeps sums of it small.
+constexpr std::int64_t MaxDeclaredMs = 3'600'000;
 constexpr std::int64_t MaxAccelerators = 1024;
 constexpr std::int64_t MaxMemoryMb = 16'777'216;
 constexpr std::int64_t MaxWaitMs = 600'000;
--- a/src/nodeprocess.h
+++ b/src/nodeprocess.h
@@ -139,7 +139,7 @@
     }
 
     // Passes one input to the node and carries out the effects that it returns. `input` is called
-    // once as input(now, outbox). Afterwards the timer is set for the node's next deadline.
+    // once as input(now, outbox). Afterwards m_timer is set to m_node->nextTimer().
     template <typename Input>
     void handleInput(Input input)
     {
--- a/src/settings.h
+++ b/src/settings.h
@@ -27,8 +27,7 @@
     Duration logRetention{};    // time for which the log service keeps a record
     Duration shutdownTimeout{}; // a graceful shutdown is aborted after this time
     LogLevel logLevel = LogLevel::Info;
-    std::string
-        traceFile; // receives finished spans as OTLP/JSON lines; empty: no spans are written
+    std::string traceFile; // finished spans are appended to it as OTLP/JSON lines; may be empty
 };
 
 // Reports all mistakes of the command line and the environment, not only the first.
