--- a/src/fleetconfig.h
+++ b/src/fleetconfig.h
@@ -31,8 +31,8 @@
     std::vector<std::string> upstreams; // names of the upstreams that the team may use
 };
 
-// An upstream. A worker is one instance of it. Limits of 0 mean no limit beside the one that the
-// worker announces.
+// An upstream. A worker is one instance of it; it announces its own slots and connections, which
+// slotsPerWorker and connectionsPerWorker can only lower. There 0 means no limit.
 struct UpstreamConfig
 {
     std::uint32_t slotsPerWorker = 0;       // tasks that may run on one worker at a time
--- a/src/operatorapi.h
+++ b/src/operatorapi.h
@@ -7,10 +7,10 @@
 //   POST /v1/config/plan       what a file would change, without applying it
 //   GET  /v1/status            members, shards and load of the fleet, as this entry knows them
 //
-// The response to PUT has status 200 if the file was accepted, 400 for wrong parameters, 409 if
-// another file was accepted on that base, 422 if the file is invalid, 503 if nothing has changed
-// because the entry is not ready or the log service not reachable, and 504 if the result is
-// unknown.
+// The response to PUT has status 200 if the file was accepted, 400 for wrong parameters, 409 if the
+// base does not exist or another file was accepted on it, 422 for an invalid file, 503 if nothing
+// has changed because the entry is not ready or the log service is not reachable, and 504 if the
+// result is unknown.
 //
 // EntryProcess owns the OperatorApi and passes requests to it.
 
