--- a/src/outbox.h
+++ b/src/outbox.h
@@ -1,5 +1,5 @@
-// Effects that decisions ask for. A decision appends to an Outbox and performs nothing itself; the
-// shell, or a test with virtual time, carries the effects out in order.
+// Effects that the decision code asks for. It performs no input or output itself: it adds effects
+// to an Outbox, and the process around it, or a test in virtual time, carries them out in order.
 
 #pragma once
 
@@ -14,21 +14,24 @@
 
 namespace cactuscove {
 
+// Sends a message to another process, or to the sender itself. Delivery is not guaranteed.
 struct Send
 {
     Incarnation to;
     Message message;
 };
 
-// The shell repeats an unclear append with the same append id until the log has it.
+// Appends a record to the log. Whoever carries this out repeats an append of unclear result with
+// the same append id until the log has the record.
 struct Append
 {
     Record record;
 };
 
-// Names one waiting HTTP request of a caller at this entry.
+// Identifies one waiting HTTP request of a caller at this entry.
 using CallerId = StrongId<struct CallerIdTag>;
 
+// Replies to the request `caller`, which is then over.
 struct AnswerCaller
 {
     CallerId caller;
@@ -36,18 +39,21 @@
     std::variant<Answer, SubmitRefusal, JobNotFound, JobAccepted> reply;
 };
 
+// Starts one attempt of a task on the upstream instance beside this agent. Exactly one result
+// follows.
 struct StartOnUpstream
 {
     TaskRef ref;
     std::uint32_t attempt = 0;
-    std::string payload;
-    std::string taskId;
-    std::string upstreamAddress;
-    std::string upstreamIncarnation;
-    Duration lease{};
+    std::string payload;             // TaskSpec::payload
+    std::string taskId;              // TaskSpec::id
+    std::string upstreamAddress;     // "ip:port"
+    std::string upstreamIncarnation; // another instance at that address must refuse the start
+    Duration lease{};                // the upstream stops the task once it has run this long
     TraceContext trace;
 };
 
+// Asks the upstream to stop a running task.
 struct StopOnUpstream
 {
     TaskRef ref;
@@ -56,14 +62,15 @@
 
 enum class Severity { Info, Warning, Error };
 
+// Writes one line to the process's own log of events.
 struct LogEvent
 {
     Severity severity = Severity::Info;
-    std::string name;
-    std::vector<std::pair<std::string, std::string>> fields;
+    std::string name;                                        // for example "claim_shards"
+    std::vector<std::pair<std::string, std::string>> fields; // names and values
 };
 
-// A finished span of a hop that the decisions time themselves.
+// Exports a finished trace span of a step that the decision code measured itself.
 struct EmitSpan
 {
     std::string name;
@@ -77,9 +84,11 @@
 using Effect
     = std::variant<Send, Append, AnswerCaller, StartOnUpstream, StopOnUpstream, LogEvent, EmitSpan>;
 
+// Collects the effects of one input to the decision code, in order.
 class Outbox
 {
 public:
+    // `effect` is of a type of Effect.
     template <typename E>
     void add(E effect)
     {
@@ -88,7 +97,7 @@
 
     void send(Incarnation to, Message message) { add(Send{to, std::move(message)}); }
 
-    std::vector<Effect> take() { return std::exchange(m_effects, {}); }
+    std::vector<Effect> take() { return std::exchange(m_effects, {}); } // empties the outbox
     bool isEmpty() const { return m_effects.empty(); }
 
 private:
--- a/src/types.cpp
+++ b/src/types.cpp
@@ -1,4 +1,4 @@
-// Hashing of job keys to shards, and names of enumerators.
+// Maps job keys to shards and gives enumerators their outer names.
 
 #include "types.h"
 
--- a/src/types.h
+++ b/src/types.h
@@ -1,4 +1,5 @@
-// Strong types and value types shared by every decision module and by the shell.
+// Identifiers and plain value types that the whole program shares: identities, time, the parts of a
+// job and of its answer, members and their load.
 
 #pragma once
 
@@ -13,13 +14,14 @@
 
 namespace cactuscove {
 
-// Decisions receive the time as an argument and never read a clock.
+// Time as the decision code sees it: it receives the current time as an argument and never reads a
+// clock, so that tests can run it in virtual time.
 using Duration = std::chrono::microseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-inline constexpr TimePoint NeverTime = TimePoint::max();
+inline constexpr TimePoint NeverTime = TimePoint::max(); // of a timer that is not set
 
-// A number that cannot be mixed up with a number of another kind.
+// An integer of a type of its own, so that identifiers of different kinds cannot be mixed up.
 template <typename Tag, typename Rep = std::uint64_t>
 struct StrongId
 {
@@ -27,18 +29,19 @@
     auto operator<=>(const StrongId &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-using Incarnation = StrongId<struct IncarnationTag>; // one run of one process; 0 is no process
-using Epoch = StrongId<struct EpochTag>;             // of a shard; 0 means that no home existed yet
-using LogOffset = StrongId<struct LogOffsetTag>;
-using Revision = StrongId<struct RevisionTag>; // of the configuration; 0 means none accepted
-using ShardId = StrongId<struct ShardIdTag, std::uint16_t>;
+using Incarnation = StrongId<struct IncarnationTag>; // one run of one process; 0 means no process
+using Epoch = StrongId<struct EpochTag>; // of a shard: each claim adds 1; 0 before the first claim
+using LogOffset = StrongId<struct LogOffsetTag>; // position of a record in the log, from 0
+using Revision = StrongId<struct RevisionTag>;   // of the configuration; 0 if none is accepted
+using ShardId = StrongId<struct ShardIdTag, std::uint16_t>; // 0 to ShardCount - 1
 
-// Job keys are spread over this many shards; it bounds the number of home agents.
+// Job keys are hashed to this many shards. Each shard has one home, the agent that accepts its jobs
+// and drives their tasks, so this also bounds the number of homes.
 inline constexpr std::uint16_t ShardCount = 512;
 
 inline constexpr std::size_t MaxTasksPerJob = 370;
 
-// 128-bit hash of a job key. Entries remember hashes and not keys to stay within their memory
+// 128-bit hash of a job key. Entries remember hashes instead of keys to stay within their memory
 // limit.
 struct KeyHash
 {
@@ -47,7 +50,7 @@
     auto operator<=>(const KeyHash &) const = default;
 };
 
-// "team/id": the caller's id, scoped by its team.
+// "team/id": the id that the caller chose, scoped by its team.
 struct JobKey
 {
     std::string value;
@@ -58,7 +61,7 @@
 ShardId shardOf(const JobKey &key);
 ShardId shardOf(const KeyHash &hash);
 
-// W3C trace context of the span that caused a message.
+// W3C trace context of the span that caused a message; both empty without a trace.
 struct TraceContext
 {
     std::string traceId; // 32 hex digits
@@ -66,6 +69,7 @@
     bool operator==(const TraceContext &) const = default;
 };
 
+// What one task requires of an upstream, or the most that one task may require there.
 struct TaskResources
 {
     std::uint32_t accelerators = 0;
@@ -73,93 +77,107 @@
     bool operator==(const TaskResources &) const = default;
 };
 
+// One task of a job, as the caller submitted it.
 struct TaskSpec
 {
-    std::string id;
+    std::string id;      // unique within the job
     std::string payload; // passed to the upstream unchanged
-    Duration declared{}; // the caller's estimate, a hint only
+    Duration declared{}; // the caller's estimate, a hint only; 0 if it gave none
     TaskResources needs;
     bool operator==(const TaskSpec &) const = default;
 };
 
+// A job as the caller submitted it. All of its tasks run on the same upstream.
 struct JobSpec
 {
     JobKey key;
     std::string team;
     std::string jobClass;
-    std::string upstream;
-    Duration deadline{}; // relative to the caller's submission
-    bool idempotent = false;
-    std::uint64_t contentHash = 0; // detects another job under the same id
-    std::vector<TaskSpec> tasks;
+    std::string upstream;          // name in the configuration
+    Duration deadline{};           // from the submission by the caller
+    bool idempotent = false;       // tasks may be retried and hedged
+    std::uint64_t contentHash = 0; // of the whole job; tells apart two jobs under the same key
+    std::vector<TaskSpec> tasks;   // at most MaxTasksPerJob
     bool operator==(const JobSpec &) const = default;
 };
 
+// How one attempt of a task ended.
 enum class TaskStatus {
     Completed,  // the upstream answered with 2xx or 4xx
-    Failed,     // started, then 5xx or a broken connection
-    NotStarted, // proved not started; a tombstone stands
-    Unknown,    // may have started
+    Failed,     // it started, then the upstream answered with 5xx or the connection broke
+    NotStarted, // it is proved that it did not start; a tombstone keeps it from starting later
+    Unknown,    // it may have started
 };
 
-std::string_view nameOf(TaskStatus status); // as in logs and metrics
+std::string_view nameOf(TaskStatus status); // for logs and metrics, for example "not_started"
 
 struct TaskResult
 {
     TaskStatus status = TaskStatus::Unknown;
-    int httpStatus = 0; // of the upstream, 0 without an answer
-    std::string body;
+    int httpStatus = 0; // from the upstream; 0 if it gave no answer
+    std::string body;   // of the upstream's answer
     Duration runTime{};
     bool operator==(const TaskResult &) const = default;
 };
 
-enum class Outcome { Completed, NotRun, Unknown };
+// What a caller learns of its job.
+enum class Outcome {
+    Completed, // every task has a result
+    NotRun,    // no task has started, with proof, and none will unless the job is submitted again
+    Unknown    // neither can be proved
+};
 
-std::string_view nameOf(Outcome outcome); // as callers see it
+std::string_view nameOf(Outcome outcome); // as in answers to callers, for example "not_run"
 
+// The result of one task in the answer to a job.
 struct TaskAnswer
 {
-    std::string id;
-    int httpStatus = 0;
+    std::string id;     // TaskSpec::id
+    int httpStatus = 0; // from the upstream
     std::string body;
     bool operator==(const TaskAnswer &) const = default;
 };
 
-// The answer to a job. `tasks` is complete for Completed and empty otherwise: never partial.
+// The answer to a job. An answer is never partial: `tasks` has every task of the job for Completed
+// and is empty otherwise.
 struct Answer
 {
     Outcome outcome = Outcome::Unknown;
-    std::string reason;                 // empty for Completed
-    std::optional<Duration> retryAfter; // when the caller should come back, if that can help
-    std::vector<TaskAnswer> tasks;
+    std::string reason;                 // empty for Completed, else for example "deadline"
+    std::optional<Duration> retryAfter; // from the answer on; empty if submitting again cannot help
+    std::vector<TaskAnswer> tasks;      // in the order of JobSpec::tasks
     bool operator==(const Answer &) const = default;
 };
 
-enum class Role { Entry, Agent };
+enum class Role {
+    Entry, // takes the requests of callers and forwards each job to its home
+    Agent  // the home of some shards, and the executor of tasks for the upstream beside it
+};
 
-// What a process says of itself in its `register` record.
+// What a process states about itself in its `register` record.
 struct Member
 {
     Incarnation incarnation;
     Role role = Role::Agent;
-    std::string address; // "ip:port" of the process's HTTP listener
+    std::string address; // "ip:port" of its HTTP listener
     std::string dataCentre;
     std::string rack;
     std::string office;
     bool operator==(const Member &) const = default;
 };
 
-// Load of one agent as it saw it itself; rides on every envelope.
+// The load of one agent as the agent itself measured it. Every envelope carries the latest ones
+// that its sender knows. A slot is room for one running task.
 struct LoadReport
 {
     Incarnation agent;
-    std::string upstream; // name of the upstream beside it; empty without one
-    std::uint32_t freeSlots = 0;
-    std::uint32_t slots = 0;
-    std::uint32_t queued = 0;
-    TaskResources capacity; // what a single task may need here
-    bool draining = false;
-    Duration age{};                   // since the agent observed it, at the time of sending
+    std::string upstream;             // name of the upstream beside the agent; empty without one
+    std::uint32_t freeSlots = 0;      // of `slots`
+    std::uint32_t slots = 0;          // tasks that its upstream runs at a time
+    std::uint32_t queued = 0;         // reservations that wait for a slot or have been offered one
+    TaskResources capacity;           // the most that a single task may require here
+    bool draining = false;            // the agent refuses new tasks
+    Duration age{};                   // from the measurement to the sending
     std::uint32_t failurePercent = 0; // of the newest results of its upstream
     bool operator==(const LoadReport &) const = default;
 };
@@ -178,14 +196,17 @@
 template <>
 struct std::hash<cactuscove::KeyHash>
 {
-    std::size_t operator()(const cactuscove::KeyHash &it) const noexcept { return it.low; }
+    std::size_t operator()(const cactuscove::KeyHash &keyHash) const noexcept
+    {
+        return keyHash.low;
+    }
 };
 
 template <>
 struct std::hash<cactuscove::JobKey>
 {
-    std::size_t operator()(const cactuscove::JobKey &it) const noexcept
+    std::size_t operator()(const cactuscove::JobKey &key) const noexcept
     {
-        return std::hash<std::string>{}(it.value);
+        return std::hash<std::string>{}(key.value);
     }
 };
