--- a/src/jobhome.cpp
+++ b/src/jobhome.cpp
@@ -1,4 +1,4 @@
-// Jobs at their home: acceptance, deduplication, answers and their memory.
+// Jobs at their home: acceptance, deduplication, answers and their timers.
 
 #include "jobhome.h"
 
@@ -11,30 +11,31 @@
 
 namespace {
 
-// A home that has just started may not have heard of every agent yet. An upstream without a live
-// agent for longer than this is gone.
+// A home that has just started may not have heard of every agent yet. An upstream that has had no
+// live agent for this time since a job was accepted is treated as gone.
 constexpr Duration UpstreamGrace = 2s;
 
 // Attempt numbers of one epoch lie above those of the epoch before, because an executor looks
 // attempts up by number. A task gets far fewer attempts than this from one home.
 constexpr std::uint32_t AttemptsPerEpoch = 4096;
 
-constexpr Duration StalledJobCheck = 1s;
+constexpr Duration StalledJobCheckInterval = 1s;
 
-// The housekeeping timer fires each second, so a longer quiet time means that the process stood
-// still.
+// The housekeeping timer fires at this interval, so that a longer time without an event than
+// LongestQuietTime means that the process was paused.
+constexpr Duration HousekeepingInterval = 1s;
 constexpr Duration LongestQuietTime = 1500ms;
 
-bool mentions(const std::vector<Incarnation> &list, Incarnation incarnation)
+bool contains(const std::vector<Incarnation> &list, Incarnation incarnation)
 {
     return std::ranges::find(list, incarnation) != list.end();
 }
 
 } // namespace
 
-JobHome::JobHome(Incarnation self, JobHomeParts parts, std::uint64_t seed)
+JobHome::JobHome(Incarnation self, JobHomeDependencies parts, std::uint64_t seed)
     : m_self(self)
-    , m_parts(parts)
+    , m_deps(parts)
     , m_spanIds(seed)
 {}
 
@@ -42,7 +43,7 @@
 
 void JobHome::onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out)
 {
-    noteTime(now);
+    detectPause(now);
     if (const auto *submit = std::get_if<SubmitJob>(&message)) {
         onSubmit(from, *submit, now, out);
     } else if (const auto *cancel = std::get_if<CancelJob>(&message)) {
@@ -51,7 +52,7 @@
         onQuery(from, *query, now, out);
     } else if (const auto *raise = std::get_if<Raise>(&message)) {
         for (const ShardClaim &claim : raise->claims) {
-            Epoch &raised = m_raised[claim.shard.value];
+            Epoch &raised = m_raisedEpochs[claim.shard.value];
             raised = std::max(raised, claim.epoch);
         }
     } else {
@@ -61,9 +62,9 @@
 
 void JobHome::onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out)
 {
-    loseOldEpochs(changes.shards, now);
-    m_homeShare = static_cast<double>(m_parts.ledger.shardsOf(m_self).size()) / ShardCount;
-    m_parts.admission.setHomeShare(m_homeShare);
+    dropJobsOfOldEpochs(changes.shards, now);
+    m_homeShare = static_cast<double>(m_deps.ledger.shardsOf(m_self).size()) / ShardCount;
+    m_deps.admission.setHomeShare(m_homeShare);
     if (changes.config)
         configure();
     if (changes.members)
@@ -80,19 +81,19 @@
 
 void JobHome::onTimer(TimePoint now, Outbox &out)
 {
-    noteTime(now);
+    detectPause(now);
     while (!m_timers.empty() && m_timers.begin()->first <= now) {
-        Job *job = m_bySerial.at(m_timers.begin()->second);
+        Job *job = m_jobsBySerial.at(m_timers.begin()->second);
         m_timers.erase(m_timers.begin());
-        job->wake = NeverTime;
+        job->timerAt = NeverTime;
         onJobTimer(*job, now, out);
     }
     if (m_nextHousekeeping <= now) {
-        m_nextHousekeeping = now + 1s;
-        for (const auto &[agent, load] : m_loadKnown)
+        m_nextHousekeeping = now + HousekeepingInterval;
+        for (const auto &[agent, load] : m_admissionLoads)
             updateWeight(agent, now);
-        const Duration memory = m_parts.ledger.fleetConfig().idMemory;
-        std::erase_if(m_former, [&](const Former &it) { return it.since + memory <= now; });
+        const Duration memory = m_deps.ledger.fleetConfig().idMemory;
+        std::erase_if(m_formerJobs, [&](const FormerJob &it) { return it.since + memory <= now; });
     }
     placeQueuedTasks(now, out);
 }
@@ -105,23 +106,23 @@
 
 bool JobHome::hasJobsInProgress(ShardId shard) const
 {
-    return m_progressOfShard[shard.value] > 0;
+    return m_inProgressOfShard[shard.value] > 0;
 }
 
-void JobHome::noteTime(TimePoint now)
+void JobHome::detectPause(TimePoint now)
 {
     if (m_lastSeen != TimePoint{} && now - m_lastSeen > LongestQuietTime) {
-        m_pause = now - m_lastSeen;
-        m_pauseEffectEnd = now + ShortRetry;
+        m_lastPause = now - m_lastSeen;
+        m_pauseEffectEnd = now + MinRetryAfter;
     }
     m_lastSeen = std::max(m_lastSeen, now);
 }
 
-// An upper estimate of the time since the caller submitted what this message carries.
-Duration JobHome::ageOf(const SubmitJob &message, TimePoint now) const
+// An upper bound of the time since the caller submitted the job of this message.
+Duration JobHome::maxAgeOf(const SubmitJob &message, TimePoint now) const
 {
     const Duration atEntry = std::max(message.spec.deadline - message.remaining, Duration::zero());
-    return now < m_pauseEffectEnd ? atEntry + m_pause : atEntry;
+    return now < m_pauseEffectEnd ? atEntry + m_lastPause : atEntry;
 }
 
 void JobHome::onSubmit(Incarnation from, const SubmitJob &message, TimePoint now, Outbox &out)
@@ -131,21 +132,21 @@
     if (!isHome(shard, message.epoch))
         return refuse(from, spec.key, SubmitRefusal::NotHome, out);
     Job *known = find(spec.key);
-    if (known != nullptr && !isForgotten(*known, now - ageOf(message, now))) {
+    if (known != nullptr && !isNotRunExpired(*known, now - maxAgeOf(message, now))) {
         if (known->spec.contentHash != spec.contentHash)
             return refuse(from, spec.key, SubmitRefusal::ContentMismatch, out);
         return reply(from, *known, message.sentAt, now, out);
     }
-    const ShardKnowledge knowledge = m_parts.shards.knowledge(shard);
+    const ShardKnowledge knowledge = m_deps.shards.knowledge(shard);
     if (knowledge == ShardKnowledge::Moving)
         return refuse(from, spec.key, SubmitRefusal::Moving, out);
-    const WitnessedJob *seen = m_parts.shards.witnessed(hashOf(spec.key));
+    const WitnessedJob *seen = m_deps.shards.reportedJob(hashOf(spec.key));
     if (seen != nullptr && seen->contentHash != 0 && seen->contentHash != spec.contentHash)
         return refuse(from, spec.key, SubmitRefusal::ContentMismatch, out);
     Job &job = create(message, now);
     addEntry(job, from);
     decide(job, now, out);
-    // Unless it was answered at once or not kept.
+    // A job that decide() has answered needs no reply here, and it may already be forgotten.
     if (Job *kept = find(spec.key); kept != nullptr && kept->state != JobState::Answered)
         reply(from, *kept, message.sentAt, now, out);
 }
@@ -156,8 +157,8 @@
         return refuse(from, message.key, SubmitRefusal::NotHome, out);
     Job *job = find(message.key);
     if (job == nullptr)
-        return answerUnseen(from, message.key, message.sentAt, out);
-    if (job->state != JobState::Running) // a waiting job: the witnesses may know more
+        return answerUnknownKey(from, message.key, message.sentAt, out);
+    if (job->state != JobState::Running) // of a waiting job the witnesses may know a result
         return reply(from, *job, message.sentAt, now, out);
     addEntry(*job, from);
     giveUp(*job, "cancelled", std::nullopt, now, out);
@@ -169,15 +170,15 @@
         return refuse(from, message.key, SubmitRefusal::NotHome, out);
     Job *job = find(message.key);
     if (job == nullptr)
-        return answerUnseen(from, message.key, message.sentAt, out);
+        return answerUnknownKey(from, message.key, message.sentAt, out);
     addEntry(*job, from);
     reply(from, *job, message.sentAt, now, out);
 }
 
 bool JobHome::isHome(ShardId shard, Epoch epoch) const
 {
-    const Epoch own = m_parts.shards.epoch(shard);
-    return own.value != 0 && own == epoch && m_raised[shard.value] <= own;
+    const Epoch own = m_deps.shards.epoch(shard);
+    return own.value != 0 && own == epoch && m_raisedEpochs[shard.value] <= own;
 }
 
 JobHome::Job *JobHome::find(const JobKey &key)
@@ -189,28 +190,28 @@
 void JobHome::refuse(Incarnation to, const JobKey &key, SubmitRefusal reason, Outbox &out) const
 {
     const ShardId shard = shardOf(key);
-    const Epoch epoch = std::max(m_parts.ledger.shard(shard).epoch, m_raised[shard.value]);
+    const Epoch epoch = std::max(m_deps.ledger.shard(shard).epoch, m_raisedEpochs[shard.value]);
     out.send(to, SubmitRefused{key, reason, epoch});
 }
 
 JobHome::Job &JobHome::create(const SubmitJob &message, TimePoint now)
 {
     const JobKey &key = message.spec.key;
-    const Epoch epoch = m_parts.shards.epoch(shardOf(key));
+    const Epoch epoch = m_deps.shards.epoch(shardOf(key));
     auto &place = m_jobs[key];
-    std::uint32_t attempts = static_cast<std::uint32_t>(epoch.value) * AttemptsPerEpoch;
-    if (place) { // an earlier submission under this id did not run
-        attempts = std::max(attempts, place->attemptBase);
+    std::uint32_t highestAttempt = static_cast<std::uint32_t>(epoch.value) * AttemptsPerEpoch;
+    if (place) { // an earlier submission under this key was answered not_run
+        highestAttempt = std::max(highestAttempt, place->highestAttempt);
         forget(*place);
     }
     auto &slot = m_jobs[key];
     slot = std::make_unique<Job>();
     Job &job = *slot;
     job.serial = ++m_lastSerial;
-    m_bySerial[job.serial] = &job;
+    m_jobsBySerial[job.serial] = &job;
     job.spec = message.spec;
     job.epoch = epoch;
-    job.attemptBase = attempts;
+    job.highestAttempt = highestAttempt;
     job.acceptedAt = now;
     job.deadline = now + message.remaining;
     job.callerSpanId = message.trace.spanId;
@@ -218,31 +219,33 @@
     job.taskCount = static_cast<std::uint16_t>(message.spec.tasks.size());
     job.tasks.resize(message.spec.tasks.size());
     for (Task &task : job.tasks)
-        task.attempts = attempts;
+        task.lastAttempt = highestAttempt;
     m_waiting[job.serial] = &job;
-    ++m_progressOfShard[shardOf(key).value];
+    ++m_inProgressOfShard[shardOf(key).value];
     ++m_inProgress;
-    wakeAt(job, job.deadline);
+    armTimer(job, job.deadline);
     return job;
 }
 
-// Decides on a job that waits for the witnesses; leaves it waiting while they may know more.
+// Admits or answers a job that waits for the witnesses. Leaves it waiting while the witness round
+// may still bring what is needed for that.
 void JobHome::decide(Job &job, TimePoint now, Outbox &out)
 {
     const ShardId shard = shardOf(job.spec.key);
-    const ShardKnowledge knowledge = m_parts.shards.knowledge(shard);
-    if (const WitnessedJob *seen = m_parts.shards.witnessed(hashOf(job.spec.key))) {
-        if (auto answer = provedAnswer(*seen, &job.spec))
+    const ShardKnowledge knowledge = m_deps.shards.knowledge(shard);
+    if (const WitnessedJob *seen = m_deps.shards.reportedJob(hashOf(job.spec.key))) {
+        if (auto answer = provenAnswer(*seen, &job.spec))
             finish(job, std::move(*answer), now, out);
-        else if (m_parts.shards.isRoundOver(shard))
+        else if (m_deps.shards.isRoundOver(shard))
             finish(job, unknown("home_lost"), now, out);
         return;
     }
     if (knowledge == ShardKnowledge::Complete) {
         admit(job, now, out);
     } else if (knowledge == ShardKnowledge::Incomplete) {
-        // Not kept: once the missing witnesses have answered, the key may prove to be new.
-        finish(job, unknown("witness_missing", spread(job.spec.key, ShortRetry)), now, out);
+        // The answer is not kept: once the missing witnesses have answered, the key may prove to be
+        // new.
+        finish(job, unknown("witness_missing", withJitter(job.spec.key, MinRetryAfter)), now, out);
         forget(job);
     }
 }
@@ -255,40 +258,41 @@
     job.state = JobState::Running;
     statsOf(job.spec.upstream);
     for (std::uint16_t n = 0; n < job.taskCount; ++n)
-        queue({&job, n}, now, QueueEnd::Back);
-    wakeAt(job, now + StalledJobCheck);
+        enqueue({&job, n}, now, QueueEnd::Back);
+    armTimer(job, now + StalledJobCheckInterval);
     placeQueuedTasks(now, out);
 }
 
 std::optional<Answer> JobHome::refusalOf(const Job &job, TimePoint now)
 {
     const JobSpec &spec = job.spec;
-    const FleetConfig &config = m_parts.ledger.fleetConfig();
-    const auto agents = m_parts.ledger.upMembers(Role::Agent);
-    const bool knowsAllLoads
-        = std::ranges::all_of(agents, [&](Incarnation it) { return m_loadKnown.contains(it); });
+    const FleetConfig &config = m_deps.ledger.fleetConfig();
+    const auto agents = m_deps.ledger.upMembers(Role::Agent);
+    const bool knowsAllLoads = std::ranges::all_of(
+        agents, [&](Incarnation it) { return m_admissionLoads.contains(it); });
     const bool isDeclared = config.upstreams.empty() || config.upstreams.contains(spec.upstream);
     if (spec.tasks.empty() || spec.tasks.size() > MaxTasksPerJob || !isDeclared)
         return notRun("cannot_run", std::nullopt);
-    if (!m_parts.placement.hasUpstream(spec.upstream))
-        return notRun("no_upstream", spread(spec.key, ShortRetry));
+    if (!m_deps.placement.hasUpstream(spec.upstream))
+        return notRun("no_upstream", withJitter(spec.key, MinRetryAfter));
     const auto canRun = [&](const TaskSpec &task) {
-        return m_parts.placement.hasCapableAgent(spec.upstream, task.needs);
+        return m_deps.placement.hasCapableAgent(spec.upstream, task.needs);
     };
     if (!std::ranges::all_of(spec.tasks, canRun))
         return knowsAllLoads ? notRun("cannot_run", std::nullopt)
-                             : notRun("no_upstream", spread(spec.key, ShortRetry));
+                             : notRun("no_upstream", withJitter(spec.key, MinRetryAfter));
     if (job.deadline <= now)
-        return notRun("deadline", spread(spec.key, ShortRetry));
+        return notRun("deadline", withJitter(spec.key, MinRetryAfter));
     auto refusal
-        = m_parts.admission.admit(spec.team, spec.jobClass, spec.upstream, spec.tasks.size(),
-                                  job.deadline - now, hashOf(spec.key), now);
+        = m_deps.admission.admit(spec.team, spec.jobClass, spec.upstream, spec.tasks.size(),
+                                 job.deadline - now, hashOf(spec.key), now);
     if (refusal)
         return notRun(refusal->reason, refusal->retryAfter);
     return std::nullopt;
 }
 
-// A retry time counts from the first answer, so that all who asked may come back at the same time.
+// Sends the answer, or JobAccepted while there is none. A retry time counts from when the job was
+// answered, so that it ends at the same time for every entry that asks.
 void JobHome::reply(Incarnation to, Job &job, Duration askedAt, TimePoint now, Outbox &out)
 {
     if (job.state == JobState::Answered) {
@@ -305,24 +309,24 @@
 
 void JobHome::addEntry(Job &job, Incarnation entry)
 {
-    if (job.state != JobState::Answered && !mentions(job.entries, entry))
+    if (job.state != JobState::Answered && !contains(job.entries, entry))
         job.entries.push_back(entry);
 }
 
-// The final answer; every entry that asked gets it at once.
+// Answers the job: sends `answer` to every entry that asked and keeps it for later ones.
 void JobHome::finish(Job &job, Answer answer, TimePoint now, Outbox &out)
 {
     releaseTasks(job, out);
     m_waiting.erase(job.serial);
-    --m_progressOfShard[shardOf(job.spec.key).value];
+    --m_inProgressOfShard[shardOf(job.spec.key).value];
     --m_inProgress;
     job.state = JobState::Answered;
     job.answer = std::move(answer);
     if (job.answer.outcome == Outcome::NotRun && job.answer.retryAfter)
-        job.answer.retryAfter = std::max(*job.answer.retryAfter, ShortRetry);
+        job.answer.retryAfter = std::max(*job.answer.retryAfter, MinRetryAfter);
     job.answeredAt = now;
     for (const Task &task : job.tasks)
-        job.attemptBase = std::max(job.attemptBase, task.attempts);
+        job.highestAttempt = std::max(job.highestAttempt, task.lastAttempt);
     job.tasks.clear();
     for (const Incarnation entry : job.entries)
         out.send(entry, JobAnswer{job.spec.key, job.epoch, job.answer, {}});
@@ -336,7 +340,7 @@
         job.acceptedAt,
         now,
         {{"job", job.spec.key.value}, {"outcome", outcome}, {"reason", job.answer.reason}}});
-    wakeAt(job, forgetAt(job));
+    armTimer(job, forgetAt(job));
 }
 
 void JobHome::onJobTimer(Job &job, TimePoint now, Outbox &out)
@@ -345,15 +349,16 @@
         if (forgetAt(job) <= now)
             forget(job);
         else
-            wakeAt(job, forgetAt(job));
+            armTimer(job, forgetAt(job));
         return;
     }
     if (job.deadline <= now) {
         if (job.state == JobState::Waiting) {
-            finish(job, unknown("witness_missing", spread(job.spec.key, ShortRetry)), now, out);
+            finish(job, unknown("witness_missing", withJitter(job.spec.key, MinRetryAfter)), now,
+                   out);
             return forget(job);
         }
-        giveUp(job, "deadline", spread(job.spec.key, ShortRetry), now, out);
+        giveUp(job, "deadline", withJitter(job.spec.key, MinRetryAfter), now, out);
         if (job.state == JobState::Answered)
             return;
     }
@@ -362,9 +367,9 @@
     if (job.state == JobState::GivingUp && job.giveUpAt <= now)
         return finish(job, unknown(job.giveUpReason), now, out);
     if (job.state == JobState::GivingUp)
-        wakeAt(job, job.giveUpAt);
+        armTimer(job, job.giveUpAt);
     else
-        wakeAt(job, job.deadline);
+        armTimer(job, job.deadline);
     for (std::uint16_t n = 0; n < job.taskCount; ++n) {
         onTaskTimer({&job, n}, now, out);
         if (job.state == JobState::Answered)
@@ -372,41 +377,45 @@
     }
 }
 
-// A job of which no task has been sent anywhere gets its answer as soon as it is clear that it will
-// not start in time, so that the caller can still use the rest of its time.
+// A job of which no task may have started is answered as soon as it is clear that it will not start
+// in time, so that the caller can use the rest of its time otherwise. True if the job is no longer
+// running.
 bool JobHome::giveUpIfStalled(Job &job, TimePoint now, Outbox &out)
 {
-    const auto isWaiting = [](Task &task) { return !task.mayHaveStarted && !boundTry(task); };
+    const auto isWaiting
+        = [](Task &task) { return !task.mayHaveStarted && !unreservedAttempt(task); };
     if (!std::ranges::all_of(job.tasks, isWaiting))
         return false;
     const JobSpec &spec = job.spec;
-    const auto &classes = m_parts.ledger.fleetConfig().classes;
+    const auto &classes = m_deps.ledger.fleetConfig().classes;
     const auto jobClass = classes.find(spec.jobClass);
     const Duration target = jobClass == classes.end() ? Duration{} : jobClass->second.queueTarget;
-    const Duration retry = spread(spec.key, ShortRetry);
-    if (now >= job.acceptedAt + UpstreamGrace && !m_parts.placement.hasUpstream(spec.upstream))
+    const Duration retry = withJitter(spec.key, MinRetryAfter);
+    if (now >= job.acceptedAt + UpstreamGrace && !m_deps.placement.hasUpstream(spec.upstream))
         giveUp(job, "no_upstream", retry, now, out);
-    else if (now + m_parts.admission.expectedRunTime(spec.upstream) > job.deadline)
+    else if (now + m_deps.admission.expectedRunTime(spec.upstream) > job.deadline)
         giveUp(job, "deadline", retry, now, out);
     else if (target > Duration::zero() && now >= job.acceptedAt + 2 * target)
         giveUp(job, "queue_full", retry, now, out);
     else
-        wakeAt(job, now + StalledJobCheck);
+        armTimer(job, now + StalledJobCheckInterval);
     return job.state != JobState::Running;
 }
 
-void JobHome::wakeAt(Job &job, TimePoint at)
+// Sets the timer of the job to `at` unless it is due earlier.
+void JobHome::armTimer(Job &job, TimePoint at)
 {
-    if (at >= job.wake)
+    if (at >= job.timerAt)
         return;
-    if (job.wake != NeverTime)
-        m_timers.erase({job.wake, job.serial});
-    job.wake = at;
+    if (job.timerAt != NeverTime)
+        m_timers.erase({job.timerAt, job.serial});
+    job.timerAt = at;
     m_timers.insert({at, job.serial});
 }
 
-// Between once and twice `base`, so that callers refused together do not come back together.
-Duration JobHome::spread(const JobKey &key, Duration base)
+// `base` to 2 * `base`, by hash of the key, so that callers refused together do not come back
+// together.
+Duration JobHome::withJitter(const JobKey &key, Duration base)
 {
     const auto part = static_cast<std::int64_t>(hashOf(key).high % 1000);
     return base + base * part / 1000;
--- a/src/jobhome.h
+++ b/src/jobhome.h
@@ -1,5 +1,6 @@
-// The home of the jobs of owned shards: accepts and deduplicates jobs, drives their tasks to the
-// executors, and answers every entry that asked. An answer is complete or failed, never partial.
+// The home side of an agent: for the shards that the agent owns it accepts and deduplicates jobs,
+// drives their tasks to the executors, and answers every entry that asked for a job. An answer is
+// complete or has no results at all, never partial.
 
 #pragma once
 
@@ -25,8 +26,8 @@
 
 namespace cactuscove {
 
-// What a JobHome works with; everything belongs to the agent node and outlives it.
-struct JobHomeParts
+// Other parts of the agent node that a JobHome uses. The agent node owns them; they outlive it.
+struct JobHomeDependencies
 {
     const Ledger &ledger;
     const ShardOwnership &shards;
@@ -35,172 +36,196 @@
     WorkerHealth &health;
 };
 
+// Owned by the agent node, which passes it every event in turn and carries out what it adds to
+// `out`. A job ends with one Answer and is remembered for id_memory after that.
 class JobHome : public ShardJobs
 {
 public:
-    JobHome(Incarnation self, JobHomeParts parts, std::uint64_t seed);
+    // `seed` determines the ids of trace spans.
+    JobHome(Incarnation self, JobHomeDependencies dependencies, std::uint64_t seed);
     ~JobHome() override;
 
     // Commands
+    // Handles SubmitJob, CancelJob, QueryJob, Raise and the messages of executors; ignores others.
     void onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out);
+    // A message of this home was provably not delivered to `to`.
     void onUndelivered(Incarnation to, const Message &message, TimePoint now, Outbox &out);
-    // To be called after ShardOwnership has followed the same change.
+    // To be called after ShardOwnership::onLedgerChange for the same change.
     void onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out);
-    // Decides on the jobs that wait for the witnesses of their shard.
+    // Decides on the jobs that wait for the witnesses of their shard. To be called after every
+    // event that may have changed ShardOwnership::knowledge().
     void decideWaitingJobs(TimePoint now, Outbox &out);
-    void onLoad(const LoadReport &digest, TimePoint now);
+    // Ignored for an agent that is not up in the ledger.
+    void onLoad(const LoadReport &report, TimePoint now);
     void onTimer(TimePoint now, Outbox &out);
-    void importShard(const ReceivedShard &table, TimePoint now);
-    // Sends queued tasks to agents; called after events that may have freed slots.
+    // Stores the answered jobs of a shard that its previous home has transferred.
+    void importShard(const ReceivedShard &received, TimePoint now);
+    // Sends queued tasks to agents. To be called after events that may have freed slots.
     void placeQueuedTasks(TimePoint now, Outbox &out);
 
     // Queries
-    TimePoint nextTimer() const;
-    bool isIdle() const { return m_inProgress == 0; }
+    TimePoint nextTimer() const;                      // when onTimer() is due
+    bool isIdle() const { return m_inProgress == 0; } // every job is answered
     bool hasJobsInProgress(ShardId shard) const override;
-    std::vector<TransferredJob> table(ShardId shard, TimePoint now) const override;
-    // What it knows of a shard at epochs lower than the claimed one.
+    std::vector<TransferredJob> answeredJobs(ShardId shard, TimePoint now) const override;
+    // The jobs of a shard that this home accepted at epochs below `below`, for a Witness message.
     std::vector<WitnessedJob> witnessed(ShardId shard, Epoch below, TimePoint now) const;
+    // Every job that this home knows, for the heir of a process that leaves.
     std::vector<AdoptedJob> memory(TimePoint now) const;
 
 private:
-    // When the caller should come back after an answer that more time may change. Not below the
-    // time that a copy of the request can spend in the network (a sender gives a connection up
-    // after 2 s), because a copy that arrives after the retry time must not start the job behind
-    // the back of a caller that was told not_run.
-    static constexpr Duration ShortRetry = std::chrono::seconds(2);
-    // A reservation is confirmed at this interval, because an executor that lost it offers nothing.
-    static constexpr Duration ReservationRepeat = std::chrono::seconds(2);
-    // Two copies of a task that ends within this time cost more than they save.
+    // Shortest retry time of an answer that may be different later. Not below the time that a copy
+    // of the request can spend in the network (a sender closes a connection after 2 s), because a
+    // copy that arrives after the retry time is a new submission: it would start the job although
+    // the caller was told not_run.
+    static constexpr Duration MinRetryAfter = std::chrono::seconds(2);
+    // A reservation is confirmed at this interval, because an executor that has lost it never
+    // offers a slot for it.
+    static constexpr Duration ReservationConfirmInterval = std::chrono::seconds(2);
+    // A task that ends within this time is not hedged: its second copy would cost more than it
+    // saves.
     static constexpr Duration MinHedgeDelay = std::chrono::milliseconds(50);
 
-    // One agent that was asked to run a task.
-    enum class TryState {
-        Sent,     // a start may have been delivered
+    enum class AttemptState {
+        Sent,     // a StartTask may have been delivered
         Reserved, // the agent is busy and will offer a slot; it has not started the task
         Running,
     };
 
-    struct Try
+    // A request to one agent to run a task.
+    struct Attempt
     {
         Incarnation agent;
-        std::uint32_t attempt = 0;
-        TryState state = TryState::Sent;
-        bool isOfferReply = false;
-        std::uint32_t copies = 0; // of StartTask sent for this attempt
-        std::uint32_t undelivered = 0;
-        TimePoint since; // of the state
+        std::uint32_t number = 0;
+        AttemptState state = AttemptState::Sent;
+        bool isOfferReply = false;     // it accepts a slot that the agent has offered
+        std::uint32_t copies = 0;      // StartTask messages sent under this number
+        std::uint32_t undelivered = 0; // of the copies
+        TimePoint since;               // start of the state
         TimePoint nextSend = NeverTime;
     };
 
-    enum class TaskState { Queued, Active, Completed, Failed };
+    enum class TaskState {
+        Queued,    // in Admission, or pausing until notBefore
+        Active,    // has live attempts
+        Completed, // has a result
+        Failed
+    };
 
     struct Task
     {
         TaskState state = TaskState::Queued;
-        std::uint64_t token = 0; // its name in Admission
-        std::int64_t order = 0;  // its age in Admission, from the last time it was taken out
-        bool isCounted = false;  // Admission counts it as started
-        bool isHedged = false;
-        bool mayHaveStarted = false; // proof to the contrary is missing
-        std::uint16_t retries = 0;
-        std::uint16_t bounces = 0;
-        std::uint32_t attempts = 0; // number of the newest attempt
-        TimePoint notBefore{};
-        std::vector<Try> tries; // empty unless Active
-        std::vector<Incarnation> excluded;
-        TaskResult result;
+        std::uint64_t token = 0;           // its id in Admission; 0 if it is not queued there
+        std::int64_t order = 0;            // its position by age, kept from its last removal there
+        bool isCountedAsStarted = false;   // Admission counts it as started and not ended
+        bool isHedged = false;             // a second copy has been started
+        bool mayHaveStarted = false;       // there is no proof that no attempt has started
+        std::uint16_t retries = 0;         // after attempts that started and failed
+        std::uint16_t noStartCount = 0;    // times that it lost all attempts without a start
+        std::uint32_t lastAttempt = 0;     // number of the newest attempt
+        TimePoint notBefore{};             // end of a pause before it is queued again
+        std::vector<Attempt> liveAttempts; // empty unless Active
+        std::vector<Incarnation> excluded; // agents that are not to be tried next
+        TaskResult result;                 // if Completed
     };
 
-    enum class JobState { Waiting, Running, GivingUp, Answered };
+    enum class JobState {
+        Waiting,  // for the witnesses of its shard
+        Running,  // admitted
+        GivingUp, // will not complete; waits for the proof that no task has started
+        Answered
+    };
 
     struct Job
     {
         JobSpec spec;             // without tasks once it is answered
         std::uint64_t serial = 0; // orders jobs in the same way in every run
-        Epoch epoch;
+        Epoch epoch;              // of the shard when the job was accepted
         JobState state = JobState::Waiting;
-        std::uint32_t attemptBase = 0; // attempts of another submission under this id lie above
-        std::vector<Incarnation> entries;
+        // Attempts of a later submission under the same key are numbered from above this.
+        std::uint32_t highestAttempt = 0;
+        std::vector<Incarnation> entries; // get the answer; empty once it is sent
         TimePoint acceptedAt;
         TimePoint deadline;
-        TraceContext trace;
+        TraceContext trace; // of the span of this home
         std::string callerSpanId;
-        std::vector<Task> tasks;
+        std::vector<Task> tasks; // as in JobSpec::tasks; empty once it is answered
         std::size_t completedTasks = 0;
         std::uint16_t taskCount = 0;
-        // While giving up: what to answer once it is proved that no task started.
+        // While giving up: the reason and retry time of the answer once it is proved that no task
+        // has started, and when the wait for that proof ends.
         std::string giveUpReason;
         std::optional<Duration> giveUpRetry;
         TimePoint giveUpAt = NeverTime;
         Answer answer;
         TimePoint answeredAt;
-        TimePoint wake = NeverTime;
+        TimePoint timerAt = NeverTime; // its place in m_timers
     };
 
-    struct TaskPlace
+    // Refers to one task of one job; `job` is null if there is no such unanswered job.
+    struct TaskHandle
     {
         Job *job = nullptr;
         std::uint16_t index = 0;
     };
 
-    // Run times and counts of one upstream, for hedges and retries.
+    // What this home has measured of one upstream, for hedges and retries.
     struct UpstreamStats
     {
-        std::vector<Duration> runTimes; // a ring of the newest
-        std::size_t nextRunTime = 0;
-        Duration p95 = Duration::zero(); // zero until enough are known
-        std::uint64_t starts = 0;
+        std::vector<Duration> runTimes;  // ring buffer of the newest
+        std::size_t nextRunTime = 0;     // index that the next run time is written to
+        Duration p95 = Duration::zero(); // of runTimes; zero while there are too few
+        std::uint64_t starts = 0;        // attempts sent, hedges included
         std::uint64_t hedges = 0;
-        std::size_t reserved = 0; // tries in state Reserved
+        std::size_t reserved = 0; // attempts in state Reserved
         RetryBudget budget = RetryBudget::create(0, 0);
     };
 
     enum class QueueEnd { Front, Back };
 
-    // A job of an earlier epoch, for the witness rounds of later homes.
-    struct Former
+    // A job of an earlier epoch of its shard. Later homes ask for it in their witness rounds.
+    struct FormerJob
     {
         WitnessedJob job;
         Epoch epoch;
-        TimePoint since;
+        TimePoint since; // end of the epoch, as seen here
     };
 
-    // The part of a load digest that admission depends on.
-    struct KnownLoad
+    // The part of a LoadReport that Admission depends on.
+    struct AdmissionLoad
     {
         std::string upstream;
-        std::uint32_t slots = 0; // 0 while it is draining
-        bool operator==(const KnownLoad &) const = default;
+        std::uint32_t slots = 0; // 0 while the agent is draining
+        bool operator==(const AdmissionLoad &) const = default;
     };
 
     // jobhome.cpp and jobhomememory.cpp: jobs
-    void noteTime(TimePoint now);
-    Duration ageOf(const SubmitJob &message, TimePoint now) const;
+    void detectPause(TimePoint now);
+    Duration maxAgeOf(const SubmitJob &message, TimePoint now) const;
     void onSubmit(Incarnation from, const SubmitJob &message, TimePoint now, Outbox &out);
     void onCancel(Incarnation from, const CancelJob &message, TimePoint now, Outbox &out);
     void onQuery(Incarnation from, const QueryJob &message, TimePoint now, Outbox &out);
-    void answerUnseen(Incarnation from, const JobKey &key, Duration askedAt, Outbox &out) const;
+    void answerUnknownKey(Incarnation from, const JobKey &key, Duration askedAt, Outbox &out) const;
     bool isHome(ShardId shard, Epoch epoch) const;
     Job *find(const JobKey &key);
-    static bool isForgotten(const Job &job, TimePoint now);
+    static bool isNotRunExpired(const Job &job, TimePoint now);
     void refuse(Incarnation to, const JobKey &key, SubmitRefusal reason, Outbox &out) const;
     Job &create(const SubmitJob &message, TimePoint now);
     void decide(Job &job, TimePoint now, Outbox &out);
     void admit(Job &job, TimePoint now, Outbox &out);
-    static std::optional<Answer> provedAnswer(const WitnessedJob &seen, const JobSpec *spec);
-    static WitnessedJob witnessOf(const Job &job);
+    static std::optional<Answer> provenAnswer(const WitnessedJob &seen, const JobSpec *spec);
+    static WitnessedJob witnessedJobOf(const Job &job);
     std::optional<Answer> refusalOf(const Job &job, TimePoint now);
     static void reply(Incarnation to, Job &job, Duration askedAt, TimePoint now, Outbox &out);
     static void addEntry(Job &job, Incarnation entry);
     void finish(Job &job, Answer answer, TimePoint now, Outbox &out);
     void forget(Job &job);
-    void loseOldEpochs(std::span<const ShardId> shards, TimePoint now);
+    void dropJobsOfOldEpochs(std::span<const ShardId> shards, TimePoint now);
     void onJobTimer(Job &job, TimePoint now, Outbox &out);
     bool giveUpIfStalled(Job &job, TimePoint now, Outbox &out);
     TimePoint forgetAt(const Job &job) const;
-    void wakeAt(Job &job, TimePoint at);
-    static Duration spread(const JobKey &key, Duration base);
+    void armTimer(Job &job, TimePoint at);
+    static Duration withJitter(const JobKey &key, Duration base);
     static Answer unknown(std::string reason, std::optional<Duration> retryAfter = {});
     static Answer notRun(std::string reason, std::optional<Duration> retryAfter);
     std::string nextSpanId();
@@ -215,64 +240,66 @@
     void onOffer(Incarnation from, const SlotOffer &message, TimePoint now, Outbox &out);
     void configure();
     void syncAgents(TimePoint now, Outbox &out);
-    void agentLost(Incarnation agent, TimePoint now, Outbox &out);
-    TaskPlace locate(const TaskRef &ref);
-    static Try *findTry(Task &task, Incarnation agent, std::uint32_t attempt);
-    static Try *boundTry(Task &task); // that may have started or may yet start
-    void queue(TaskPlace place, TimePoint now, QueueEnd end);
-    bool placeTask(TaskPlace place, TimePoint now, Outbox &out);
+    void onAgentLost(Incarnation agent, TimePoint now, Outbox &out);
+    TaskHandle locate(const TaskRef &ref);
+    static Attempt *findAttempt(Task &task, Incarnation agent, std::uint32_t number);
+    static Attempt *unreservedAttempt(Task &task); // has started or may yet start; null if none
+    void enqueue(TaskHandle handle, TimePoint now, QueueEnd end);
+    bool placeTask(TaskHandle handle, TimePoint now, Outbox &out);
     std::size_t reservationLimit(const std::string &upstream) const;
-    void sendStart(TaskPlace place, Incarnation agent, TimePoint now, Outbox &out);
-    void sendCopy(TaskPlace place, Try &attempt, TimePoint now, Outbox &out);
+    void sendStart(TaskHandle handle, Incarnation agent, TimePoint now, Outbox &out);
+    void sendCopy(TaskHandle handle, Attempt &attempt, TimePoint now, Outbox &out);
     static std::string flowOf(const JobSpec &spec);
-    void reservationEnded(TaskPlace place, Incarnation agent);
-    Try removeTry(TaskPlace place, Incarnation agent, std::uint32_t attempt);
-    void requeue(TaskPlace place, Duration pause, TimePoint now);
-    void afterNoStart(TaskPlace place, Duration pause, TimePoint now, Outbox &out);
-    void uncount(TaskPlace place, std::optional<Duration> runTime);
-    void taskCompleted(TaskPlace place, Incarnation agent, std::uint32_t attempt,
+    void reservationEnded(TaskHandle handle, Incarnation agent);
+    Attempt removeAttempt(TaskHandle handle, Incarnation agent, std::uint32_t number);
+    void requeue(TaskHandle handle, Duration pause, TimePoint now);
+    void onAttemptNotStarted(TaskHandle handle, Duration pause, TimePoint now, Outbox &out);
+    void countAsEnded(TaskHandle handle, std::optional<Duration> runTime);
+    void taskCompleted(TaskHandle handle, Incarnation agent, std::uint32_t attempt,
                        const TaskResult &result, TimePoint now, Outbox &out);
-    void taskFailed(TaskPlace place, Incarnation agent, const std::string &reason, TimePoint now,
+    void taskFailed(TaskHandle handle, Incarnation agent, const std::string &reason, TimePoint now,
                     Outbox &out);
-    void releaseTries(TaskPlace place, bool stopRunning, Outbox &out);
+    void endAttempts(TaskHandle handle, bool stopRunning, Outbox &out);
     void releaseTasks(Job &job, Outbox &out);
-    void onTaskTimer(TaskPlace place, TimePoint now, Outbox &out);
-    void hedge(TaskPlace place, TimePoint now, Outbox &out);
+    void onTaskTimer(TaskHandle handle, TimePoint now, Outbox &out);
+    void hedge(TaskHandle handle, TimePoint now, Outbox &out);
     void giveUp(Job &job, const std::string &reason, std::optional<Duration> retryAfter,
                 TimePoint now, Outbox &out);
     void checkGivingUp(Job &job, TimePoint now, Outbox &out);
     UpstreamStats &statsOf(const std::string &upstream);
-    static void noteRunTime(UpstreamStats &stats, Duration runTime);
+    static void addRunTime(UpstreamStats &stats, Duration runTime);
     void updateWeight(Incarnation agent, TimePoint now);
 
     Incarnation m_self;
-    JobHomeParts m_parts;
+    JobHomeDependencies m_deps;
     Random m_spanIds;
     std::uint64_t m_lastSerial = 0;
     std::unordered_map<JobKey, std::unique_ptr<Job>> m_jobs;
-    std::unordered_map<std::uint64_t, Job *> m_bySerial; // every job in m_jobs
-    std::map<std::uint64_t, Job *> m_waiting;            // jobs in state Waiting by serial
-    std::size_t m_inProgress = 0;                        // jobs that are not answered
-    std::array<std::uint32_t, ShardCount> m_progressOfShard{};
-    std::set<std::pair<TimePoint, std::uint64_t>> m_timers; // one for each job with a finite wake
-    std::unordered_map<std::uint64_t, TaskPlace> m_queued;  // tasks in Admission by token
+    std::unordered_map<std::uint64_t, Job *> m_jobsBySerial; // every job in m_jobs
+    std::map<std::uint64_t, Job *> m_waiting;                // jobs in state Waiting by serial
+    std::size_t m_inProgress = 0;                            // jobs that are not answered
+    std::array<std::uint32_t, ShardCount> m_inProgressOfShard{};
+    std::set<std::pair<TimePoint, std::uint64_t>> m_timers; // timerAt, if set, and serial
+    std::unordered_map<std::uint64_t, TaskHandle> m_queued; // tasks in Admission by token
     std::uint64_t m_lastToken = 0;
-    // Every task with a try at the agent, by serial of the job and index.
+    // Every task with a live attempt at the agent, by serial of the job and index.
     std::map<Incarnation, std::set<std::pair<std::uint64_t, std::uint16_t>>> m_tasksOfAgent;
-    std::map<std::string, UpstreamStats> m_stats;
-    std::vector<Former> m_former;
-    std::set<Incarnation> m_agents;               // up in the ledger
-    std::map<Incarnation, KnownLoad> m_loadKnown; // of agents in m_agents
-    double m_homeShare = 0;
-    TimePoint m_lastSeen{}; // of the newest event
-    // After a pause of this process, messages may have waited that long to be read.
-    Duration m_pause{};
+    std::map<std::string, UpstreamStats> m_stats; // by name of the upstream
+    std::vector<FormerJob> m_formerJobs;
+    std::set<Incarnation> m_agents;                        // up in the ledger
+    std::map<Incarnation, AdmissionLoad> m_admissionLoads; // of agents in m_agents
+    double m_homeShare = 0;                                // shards owned / ShardCount
+    TimePoint m_lastSeen{};                                // of the newest event
+    // A message read after a pause of this process may have waited for the whole pause. Until
+    // m_pauseEffectEnd the length of the last pause is added to the age of submissions.
+    Duration m_lastPause{};
     TimePoint m_pauseEffectEnd{};
     TimePoint m_nextHousekeeping{};
     TimePoint m_nextPlacement = NeverTime; // when a quota lets the next queued task start
-    // Highest epoch of a shard that another home has asked about. Below it this home must not
-    // accept a job, because it has already told the new home everything that it knows.
-    std::array<Epoch, ShardCount> m_raised{};
+    // Highest epoch of each shard that another home has named in a Raise or an executor in a
+    // refusal. This home must not accept a job at a lower epoch, because it has already told the
+    // new home everything that it knows.
+    std::array<Epoch, ShardCount> m_raisedEpochs{};
 };
 
 } // namespace cactuscove
--- a/src/jobhomememory.cpp
+++ b/src/jobhomememory.cpp
@@ -1,4 +1,5 @@
-// What a home remembers of its jobs: tables of shards, reports for witness rounds, forgetting.
+// What a home remembers of its jobs: their transfer with a shard, reports to later homes, and
+// forgetting.
 
 #include "jobhome.h"
 
@@ -9,34 +10,35 @@
 
 namespace {
 
-// A copy of a request that was answered not_run may still wait at an entry after the retry time.
-// The next home, which does not know the answer, must not take its key as new.
-constexpr Duration CopyTime = std::chrono::seconds(5);
+// A copy of a request that was answered not_run may still wait at an entry for this long after the
+// retry time. The next home does not know the answer and must not treat the key as new, so the key
+// is reported to it.
+constexpr Duration LateCopyTime = std::chrono::seconds(5);
 
 } // namespace
 
-void JobHome::importShard(const ReceivedShard &table, TimePoint now)
+void JobHome::importShard(const ReceivedShard &received, TimePoint now)
 {
-    for (const TransferredJob &it : table.jobs) {
+    for (const TransferredJob &it : received.jobs) {
         auto [place, isNew] = m_jobs.try_emplace(it.key);
         if (!isNew)
             continue;
         place->second = std::make_unique<Job>();
         Job &job = *place->second;
         job.serial = ++m_lastSerial;
-        m_bySerial[job.serial] = &job;
+        m_jobsBySerial[job.serial] = &job;
         job.spec.key = it.key;
         job.spec.contentHash = it.contentHash;
-        job.epoch = table.claim.epoch;
+        job.epoch = received.claim.epoch;
         job.taskCount = static_cast<std::uint16_t>(it.answer.tasks.size());
         job.state = JobState::Answered;
         job.answer = it.answer;
-        job.answeredAt = table.arrivedAt - it.age;
-        wakeAt(job, std::max(now, forgetAt(job)));
+        job.answeredAt = received.arrivedAt - it.age;
+        armTimer(job, std::max(now, forgetAt(job)));
     }
 }
 
-std::vector<TransferredJob> JobHome::table(ShardId shard, TimePoint now) const
+std::vector<TransferredJob> JobHome::answeredJobs(ShardId shard, TimePoint now) const
 {
     std::vector<TransferredJob> result;
     for (const auto &[key, job] : m_jobs) {
@@ -46,10 +48,10 @@
     return result;
 }
 
-// A job that was answered or accepted here is known to this home even if no task of it started.
-// Without it an executor-side report could be taken as proof that the key is new, although this
-// home's answer may still be on its way to a caller.
-WitnessedJob JobHome::witnessOf(const Job &job)
+// Lists the results of a completed job. Any other job is reported without results, also if no task
+// of it has started: otherwise the next home could conclude from the reports of the executors that
+// the key is new, although an answer of this home may still be on its way to a caller.
+WitnessedJob JobHome::witnessedJobOf(const Job &job)
 {
     WitnessedJob seen{hashOf(job.spec.key), job.spec.contentHash, job.taskCount, {}};
     if (job.state != JobState::Answered || job.answer.outcome != Outcome::Completed)
@@ -66,10 +68,11 @@
 {
     std::vector<WitnessedJob> result;
     for (const auto &[key, job] : m_jobs) {
-        if (shardOf(key) == shard && job->epoch < below && !isForgotten(*job, now - CopyTime))
-            result.push_back(witnessOf(*job));
+        if (shardOf(key) == shard && job->epoch < below
+            && !isNotRunExpired(*job, now - LateCopyTime))
+            result.push_back(witnessedJobOf(*job));
     }
-    for (const Former &it : m_former) {
+    for (const FormerJob &it : m_formerJobs) {
         if (shardOf(it.job.key) == shard && it.epoch < below)
             result.push_back(it.job);
     }
@@ -80,45 +83,50 @@
 {
     std::vector<AdoptedJob> result;
     for (const auto &[key, job] : m_jobs) {
-        if (!isForgotten(*job, now - CopyTime))
-            result.push_back({witnessOf(*job), job->epoch, Duration::zero()});
+        if (!isNotRunExpired(*job, now - LateCopyTime))
+            result.push_back({witnessedJobOf(*job), job->epoch, Duration::zero()});
     }
-    for (const Former &it : m_former)
+    for (const FormerJob &it : m_formerJobs)
         result.push_back({it.job, it.epoch, now - it.since});
     return result;
 }
 
-// Answers for a key without a specification that this home has not accepted.
-void JobHome::answerUnseen(Incarnation from, const JobKey &key, Duration askedAt, Outbox &out) const
+// Answers a query or cancellation of a key that this home has not accepted. It carries no job that
+// could be run, so the answer comes from the witnesses alone.
+void JobHome::answerUnknownKey(Incarnation from, const JobKey &key, Duration askedAt,
+                               Outbox &out) const
 {
     const ShardId shard = shardOf(key);
-    const Epoch epoch = m_parts.shards.epoch(shard);
-    const ShardKnowledge knowledge = m_parts.shards.knowledge(shard);
+    const Epoch epoch = m_deps.shards.epoch(shard);
+    const ShardKnowledge knowledge = m_deps.shards.knowledge(shard);
     if (knowledge == ShardKnowledge::Moving)
         return refuse(from, key, SubmitRefusal::Moving, out);
-    if (const WitnessedJob *seen = m_parts.shards.witnessed(hashOf(key))) {
-        if (const auto answer = provedAnswer(*seen, nullptr))
+    if (const WitnessedJob *seen = m_deps.shards.reportedJob(hashOf(key))) {
+        if (const auto answer = provenAnswer(*seen, nullptr))
             out.send(from, JobAnswer{key, epoch, *answer, askedAt});
-        else if (m_parts.shards.isRoundOver(shard))
+        else if (m_deps.shards.isRoundOver(shard))
             out.send(from, JobAnswer{key, epoch, unknown("home_lost"), askedAt});
-        return; // else the entry asks again
+        return; // without a reply the entry asks again
     }
     if (knowledge == ShardKnowledge::Complete)
         out.send(from, JobNotFound{key, epoch});
     else if (knowledge == ShardKnowledge::Incomplete)
-        out.send(from, JobAnswer{key, epoch, unknown("witness_missing", spread(key, ShortRetry)),
-                                 askedAt});
+        out.send(from,
+                 JobAnswer{key, epoch, unknown("witness_missing", withJitter(key, MinRetryAfter)),
+                           askedAt});
 }
 
-// Rule R7: after the retry time of a not_run answer the key is new again.
-bool JobHome::isForgotten(const Job &job, TimePoint now)
+// A caller that was told not_run with a retry time may submit the job again after that time, so the
+// key then counts as new (rule R7).
+bool JobHome::isNotRunExpired(const Job &job, TimePoint now)
 {
     return job.state == JobState::Answered && job.answer.outcome == Outcome::NotRun
            && job.answer.retryAfter && now >= job.answeredAt + *job.answer.retryAfter;
 }
 
-// Completed if every task is reported done for this very content.
-std::optional<Answer> JobHome::provedAnswer(const WitnessedJob &seen, const JobSpec *spec)
+// The Completed answer if the witnesses report every task as completed, for the content of `spec`
+// unless that is null; otherwise empty.
+std::optional<Answer> JobHome::provenAnswer(const WitnessedJob &seen, const JobSpec *spec)
 {
     if (seen.taskCount == 0 || seen.tasks.size() != seen.taskCount || seen.contentHash == 0
         || (spec != nullptr && spec->contentHash != seen.contentHash))
@@ -133,18 +141,18 @@
     return answer;
 }
 
-// Leaves no trace of the job; only for answered ones.
+// Removes an answered job.
 void JobHome::forget(Job &job)
 {
-    if (job.wake != NeverTime)
-        m_timers.erase({job.wake, job.serial});
-    m_bySerial.erase(job.serial);
+    if (job.timerAt != NeverTime)
+        m_timers.erase({job.timerAt, job.serial});
+    m_jobsBySerial.erase(job.serial);
     m_jobs.erase(JobKey{job.spec.key});
 }
 
-// After a change of the shard's owner or epoch: unanswered jobs belong to the next home, which
-// learns of them from the witnesses. What is known here stays available to them.
-void JobHome::loseOldEpochs(std::span<const ShardId> shards, TimePoint now)
+// Removes the jobs whose shard has another epoch or home now. The next home learns of them from the
+// witnesses; this home is one of them and keeps for it, in m_formerJobs, what it knows.
+void JobHome::dropJobsOfOldEpochs(std::span<const ShardId> shards, TimePoint now)
 {
     std::bitset<ShardCount> changed;
     for (const ShardId shard : shards)
@@ -152,13 +160,14 @@
     std::vector<Job *> lost;
     for (const auto &[key, job] : m_jobs) {
         const ShardId shard = shardOf(key);
-        if (changed.test(shard.value) && job->epoch != m_parts.shards.epoch(shard))
+        if (changed.test(shard.value) && job->epoch != m_deps.shards.epoch(shard))
             lost.push_back(job.get());
     }
-    Outbox unsent; // entries ask the next home, and executors follow its fence
+    // Discarded: the entries ask the next home, and the executors refuse this home's old epoch.
+    Outbox unsent;
     for (Job *job : lost) {
-        if (!isForgotten(*job, now - CopyTime))
-            m_former.push_back({witnessOf(*job), job->epoch, now});
+        if (!isNotRunExpired(*job, now - LateCopyTime))
+            m_formerJobs.push_back({witnessedJobOf(*job), job->epoch, now});
         if (job->state != JobState::Answered)
             finish(*job, unknown("home_replaced"), now, unsent);
         forget(*job);
@@ -168,7 +177,7 @@
 TimePoint JobHome::forgetAt(const Job &job) const
 {
     const Duration retry = job.answer.retryAfter.value_or(Duration::zero());
-    return job.answeredAt + std::max(m_parts.ledger.fleetConfig().idMemory, retry);
+    return job.answeredAt + std::max(m_deps.ledger.fleetConfig().idMemory, retry);
 }
 
 } // namespace cactuscove
--- a/src/jobhometasks.cpp
+++ b/src/jobhometasks.cpp
@@ -1,4 +1,4 @@
-// Tasks at their home: answers of the executors, results, retries, and the end of a job.
+// Tasks at their home: messages of the executors, results, retries, and the end of a job.
 
 #include "jobhome.h"
 
@@ -10,14 +10,17 @@
 
 namespace {
 
-constexpr Duration FirstBouncePause = 25ms;
-constexpr Duration LongestBouncePause = 1s;
-constexpr std::uint16_t BouncesWithoutPause = 2;
+// A task whose attempts keep ending without a start is queued again at once for the first
+// NoStartsWithoutPause times, then after a pause that doubles from 2 * FirstRequeuePause up to
+// LongestRequeuePause.
+constexpr Duration FirstRequeuePause = 25ms;
+constexpr Duration LongestRequeuePause = 1s;
+constexpr std::uint16_t NoStartsWithoutPause = 2;
 
-constexpr std::uint16_t MaxRetries = 3;
+constexpr std::uint16_t MaxRetries = 3; // of one task of an idempotent job
 
-// How long a job that is given up waits for the proof that a sent task has not started.
-constexpr Duration ProofTime = 2s;
+// How long a job that is given up waits for the proof that no task of it has started.
+constexpr Duration NoStartProofTimeout = 2s;
 
 } // namespace
 
@@ -39,198 +42,206 @@
 
 void JobHome::onAccepted(Incarnation from, const TaskAccepted &message, TimePoint now, Outbox &out)
 {
-    const TaskPlace place = locate(message.ref);
-    if (place.job == nullptr)
+    const TaskHandle handle = locate(message.ref);
+    if (handle.job == nullptr)
         return;
-    Task &task = place.job->tasks[place.index];
-    Try *attempt = findTry(task, from, message.attempt);
-    if (attempt == nullptr || attempt->state == TryState::Running)
+    Task &task = handle.job->tasks[handle.index];
+    Attempt *attempt = findAttempt(task, from, message.attempt);
+    if (attempt == nullptr || attempt->state == AttemptState::Running)
         return;
     task.mayHaveStarted = true;
-    attempt->state = TryState::Running;
+    attempt->state = AttemptState::Running;
     attempt->since = now;
     attempt->nextSend = NeverTime;
-    const std::vector<Try> tries = task.tries;
-    for (const Try &it : tries) {
-        if (it.state != TryState::Reserved)
+    const std::vector<Attempt> attempts = task.liveAttempts;
+    for (const Attempt &it : attempts) {
+        if (it.state != AttemptState::Reserved)
             continue;
-        out.send(it.agent, OfferDeclined{message.ref, it.attempt});
-        removeTry(place, it.agent, it.attempt);
+        out.send(it.agent, OfferDeclined{message.ref, it.number});
+        removeAttempt(handle, it.agent, it.number);
     }
-    const UpstreamStats &stats = statsOf(place.job->spec.upstream);
-    if (place.job->spec.idempotent && stats.p95 > Duration::zero())
-        wakeAt(*place.job, now + std::max(stats.p95, MinHedgeDelay));
-    checkGivingUp(*place.job, now, out);
+    const UpstreamStats &stats = statsOf(handle.job->spec.upstream);
+    if (handle.job->spec.idempotent && stats.p95 > Duration::zero())
+        armTimer(*handle.job, now + std::max(stats.p95, MinHedgeDelay));
+    checkGivingUp(*handle.job, now, out);
 }
 
 void JobHome::onBusy(Incarnation from, const TaskBusy &message, TimePoint now, Outbox &out)
 {
-    const TaskPlace place = locate(message.ref);
-    if (place.job == nullptr)
+    const TaskHandle handle = locate(message.ref);
+    if (handle.job == nullptr)
         return;
-    Task &task = place.job->tasks[place.index];
-    Try *attempt = findTry(task, from, message.attempt);
-    if (attempt == nullptr || attempt->state != TryState::Sent)
+    Task &task = handle.job->tasks[handle.index];
+    Attempt *attempt = findAttempt(task, from, message.attempt);
+    if (attempt == nullptr || attempt->state != AttemptState::Sent)
         return;
-    attempt->state = TryState::Reserved;
+    attempt->state = AttemptState::Reserved;
     attempt->since = now;
-    attempt->nextSend = now + ReservationRepeat;
-    wakeAt(*place.job, attempt->nextSend);
-    ++statsOf(place.job->spec.upstream).reserved;
-    m_parts.placement.reserved(from, flowOf(place.job->spec));
-    if (place.job->state == JobState::GivingUp) {
-        // The cancellation that is on its way removes the reservation.
-        removeTry(place, from, message.attempt);
-        return checkGivingUp(*place.job, now, out);
+    attempt->nextSend = now + ReservationConfirmInterval;
+    armTimer(*handle.job, attempt->nextSend);
+    ++statsOf(handle.job->spec.upstream).reserved;
+    m_deps.placement.reserved(from, flowOf(handle.job->spec));
+    if (handle.job->state == JobState::GivingUp) {
+        // The CancelTask that was sent for this attempt removes the reservation at the executor.
+        removeAttempt(handle, from, message.attempt);
+        return checkGivingUp(*handle.job, now, out);
     }
-    placeTask(place, now, out); // a second reservation, or a free slot elsewhere
+    placeTask(handle, now, out); // on an agent with a free slot, or for a second reservation
 }
 
 void JobHome::onRefused(Incarnation from, const TaskRefused &message, TimePoint now, Outbox &out)
 {
-    const TaskPlace place = locate(message.ref);
-    if (place.job == nullptr)
+    const TaskHandle handle = locate(message.ref);
+    if (handle.job == nullptr)
         return;
-    Job &job = *place.job;
-    Task &task = job.tasks[place.index];
-    const Try *attempt = findTry(task, from, message.attempt);
-    if (attempt == nullptr || attempt->state == TryState::Running)
+    Job &job = *handle.job;
+    Task &task = job.tasks[handle.index];
+    const Attempt *attempt = findAttempt(task, from, message.attempt);
+    if (attempt == nullptr || attempt->state == AttemptState::Running)
         return;
-    removeTry(place, from, message.attempt);
+    removeAttempt(handle, from, message.attempt);
     if (message.reason == TaskRefusal::StaleEpoch) {
-        // Another home has raised the fence. The ledger will say so; nothing can start until then.
-        Epoch &raised = m_raised[shardOf(job.spec.key).value];
+        // Another home has claimed the shard. The ledger will show the claim; until then every
+        // executor that knows of it refuses this home's epoch.
+        Epoch &raised = m_raisedEpochs[shardOf(job.spec.key).value];
         raised = std::max(raised, message.fence);
-        return afterNoStart(place, LongestBouncePause, now, out);
+        return onAttemptNotStarted(handle, LongestRequeuePause, now, out);
     }
     if (message.reason == TaskRefusal::DeadlinePassed)
-        return giveUp(job, "deadline", spread(job.spec.key, ShortRetry), now, out);
+        return giveUp(job, "deadline", withJitter(job.spec.key, MinRetryAfter), now, out);
     const bool isLocal
-        = message.reason != TaskRefusal::Tombstone; // which only refuses an old attempt number
+        = message.reason != TaskRefusal::Tombstone; // a tombstone refuses only old attempt numbers
     if (isLocal)
         task.excluded.push_back(from);
     if (message.reason == TaskRefusal::CannotRun
-        && !m_parts.placement.hasCapableAgent(job.spec.upstream, job.spec.tasks[place.index].needs))
+        && !m_deps.placement.hasCapableAgent(job.spec.upstream, job.spec.tasks[handle.index].needs))
         return giveUp(job, "cannot_run", std::nullopt, now, out);
-    afterNoStart(place, Duration::zero(), now, out);
+    onAttemptNotStarted(handle, Duration::zero(), now, out);
 }
 
 void JobHome::onDone(Incarnation from, const TaskDone &message, TimePoint now, Outbox &out)
 {
     out.send(from, TaskDoneAck{message.ref, message.attempt});
-    const TaskPlace place = locate(message.ref);
-    if (place.job == nullptr) {
-        // The first failure of a job that must not be repeated ends it. The failures of its other
-        // tasks still count, or a failing worker would be noticed by one task of each job only.
+    const TaskHandle handle = locate(message.ref);
+    if (handle.job == nullptr) {
+        // The first failure of a job that is not idempotent ends the job. The failures of its other
+        // tasks still count, because otherwise only one task of each job would show a failing
+        // worker.
         if (message.result.status == TaskStatus::Failed) {
-            m_parts.health.failed(from, now);
+            m_deps.health.failed(from, now);
             updateWeight(from, now);
         }
         return;
     }
-    Task &task = place.job->tasks[place.index];
-    const Try *attempt = findTry(task, from, message.attempt);
+    Task &task = handle.job->tasks[handle.index];
+    const Attempt *attempt = findAttempt(task, from, message.attempt);
     if (message.result.status == TaskStatus::Completed) {
-        // Also from an attempt that was given up as lost: it is a result of this very task.
-        if (task.state != TaskState::Completed && message.attempt <= task.attempts
+        // A result is taken also from an attempt that counts as lost.
+        if (task.state != TaskState::Completed && message.attempt <= task.lastAttempt
             && (attempt != nullptr || task.mayHaveStarted))
-            taskCompleted(place, from, message.attempt, message.result, now, out);
+            taskCompleted(handle, from, message.attempt, message.result, now, out);
         return;
     }
     if (attempt == nullptr)
         return;
     if (message.result.status == TaskStatus::NotStarted) {
-        removeTry(place, from, message.attempt);
+        removeAttempt(handle, from, message.attempt);
         task.excluded.push_back(from);
-        // Every attempt before this one is known to have ended without a start, or it is another
-        // try of an idempotent task, which is remembered in mayHaveStarted of its own.
-        if (task.tries.empty() && task.retries == 0)
+        // Without retries every earlier attempt is known to have ended without a start. After a
+        // retry an earlier attempt may have started, so mayHaveStarted stays.
+        if (task.liveAttempts.empty() && task.retries == 0)
             task.mayHaveStarted = false;
-        return afterNoStart(place, Duration::zero(), now, out);
+        return onAttemptNotStarted(handle, Duration::zero(), now, out);
     }
-    removeTry(place, from, message.attempt);
-    m_parts.health.failed(from, now);
+    removeAttempt(handle, from, message.attempt);
+    m_deps.health.failed(from, now);
     updateWeight(from, now);
-    taskFailed(place, from,
+    taskFailed(handle, from,
                message.result.status == TaskStatus::Failed ? "task_failed" : "task_lost", now, out);
 }
 
 void JobHome::onNotStarted(Incarnation from, const TaskNotStarted &message, TimePoint now,
                            Outbox &out)
 {
-    const TaskPlace place = locate(message.ref);
-    if (place.job == nullptr)
+    const TaskHandle handle = locate(message.ref);
+    if (handle.job == nullptr)
         return;
-    const Try *attempt = findTry(place.job->tasks[place.index], from, message.attempt);
-    if (attempt == nullptr || attempt->state == TryState::Running)
+    const Attempt *attempt = findAttempt(handle.job->tasks[handle.index], from, message.attempt);
+    if (attempt == nullptr || attempt->state == AttemptState::Running)
         return;
-    removeTry(place, from, message.attempt);
-    afterNoStart(place, Duration::zero(), now, out);
+    removeAttempt(handle, from, message.attempt);
+    onAttemptNotStarted(handle, Duration::zero(), now, out);
 }
 
-// Late binding: the first agent that offers a slot gets the task, under a new attempt number, so
-// that no copy of an earlier request can start it anywhere.
+// Late binding: of the agents that hold a reservation for the task, the first that offers a slot
+// gets it. It gets it under a new attempt number, so that no copy of an earlier request can start
+// the task anywhere.
 void JobHome::onOffer(Incarnation from, const SlotOffer &message, TimePoint now, Outbox &out)
 {
-    const TaskPlace place = locate(message.ref);
+    const TaskHandle handle = locate(message.ref);
     const auto decline = [&] { out.send(from, OfferDeclined{message.ref, message.attempt}); };
-    if (place.job == nullptr || place.job->state != JobState::Running || place.job->deadline <= now)
+    if (handle.job == nullptr || handle.job->state != JobState::Running
+        || handle.job->deadline <= now)
         return decline();
-    Task &task = place.job->tasks[place.index];
-    Try *bound = boundTry(task);
-    if (bound != nullptr && bound->agent == from && bound->isOfferReply) {
-        if (bound->state == TryState::Sent && bound->attempt > message.attempt)
-            sendCopy(place, *bound, now, out); // the offer was repeated
+    Task &task = handle.job->tasks[handle.index];
+    Attempt *unreserved = unreservedAttempt(task);
+    if (unreserved != nullptr && unreserved->agent == from && unreserved->isOfferReply) {
+        if (unreserved->state == AttemptState::Sent && unreserved->number > message.attempt)
+            sendCopy(handle, *unreserved, now, out); // the agent repeated its offer
         return;
     }
-    Try *held = findTry(task, from, message.attempt);
-    // An offer for a request that is still unanswered stands for the lost TaskBusy.
-    if (held == nullptr || held->state == TryState::Running || (bound != nullptr && bound != held))
+    Attempt *held = findAttempt(task, from, message.attempt);
+    // An offer for an attempt in state Sent shows that its TaskBusy was lost; the offer is
+    // accepted.
+    if (held == nullptr || held->state == AttemptState::Running
+        || (unreserved != nullptr && unreserved != held))
         return decline();
-    if (held->state == TryState::Reserved)
-        reservationEnded(place, from);
-    held->state = TryState::Sent;
+    if (held->state == AttemptState::Reserved)
+        reservationEnded(handle, from);
+    held->state = AttemptState::Sent;
     held->since = now;
-    held->attempt = ++task.attempts;
+    held->number = ++task.lastAttempt;
     held->isOfferReply = true;
     held->copies = 0;
     held->undelivered = 0;
-    m_parts.placement.taskSent(from);
-    sendCopy(place, *held, now, out);
+    m_deps.placement.taskSent(from);
+    sendCopy(handle, *held, now, out);
 }
 
 void JobHome::onUndelivered(Incarnation to, const Message &message, TimePoint now, Outbox &out)
 {
     if (const auto *cancel = std::get_if<CancelTask>(&message)) {
-        const TaskPlace place = locate(cancel->ref);
-        if (place.job == nullptr || place.job->state != JobState::GivingUp)
+        const TaskHandle handle = locate(cancel->ref);
+        if (handle.job == nullptr || handle.job->state != JobState::GivingUp)
             return;
-        // The executor that could prove that nothing started is gone.
-        Task &task = place.job->tasks[place.index];
-        task.mayHaveStarted = findTry(task, to, cancel->attempt) != nullptr || task.mayHaveStarted;
-        return checkGivingUp(*place.job, now, out);
+        // The executor is gone, and with it the only proof that the attempt did not start.
+        Task &task = handle.job->tasks[handle.index];
+        task.mayHaveStarted
+            = findAttempt(task, to, cancel->attempt) != nullptr || task.mayHaveStarted;
+        return checkGivingUp(*handle.job, now, out);
     }
     const auto *start = std::get_if<StartTask>(&message);
-    const TaskPlace place = start == nullptr ? TaskPlace{} : locate(start->ref);
-    if (place.job == nullptr)
+    const TaskHandle handle = start == nullptr ? TaskHandle{} : locate(start->ref);
+    if (handle.job == nullptr)
         return;
-    Try *attempt = findTry(place.job->tasks[place.index], to, start->attempt);
+    Attempt *attempt = findAttempt(handle.job->tasks[handle.index], to, start->attempt);
     if (attempt == nullptr)
         return;
     ++attempt->undelivered;
-    if (attempt->undelivered < attempt->copies && attempt->state == TryState::Sent) {
-        // Rule R6: an earlier copy may have arrived, and the executor that could tell is gone.
-        removeTry(place, to, start->attempt);
-        return taskFailed(place, to, "executor_lost", now, out);
+    if (attempt->undelivered < attempt->copies && attempt->state == AttemptState::Sent) {
+        // Only an undelivered message proves that its copy started nothing (rule R6). An earlier
+        // copy may have arrived, and the executor that could tell is gone.
+        removeAttempt(handle, to, start->attempt);
+        return taskFailed(handle, to, "executor_lost", now, out);
     }
-    if (attempt->state == TryState::Running)
+    if (attempt->state == AttemptState::Running)
         return;
-    removeTry(place, to, start->attempt);
-    place.job->tasks[place.index].excluded.push_back(to);
-    afterNoStart(place, Duration::zero(), now, out);
+    removeAttempt(handle, to, start->attempt);
+    handle.job->tasks[handle.index].excluded.push_back(to);
+    onAttemptNotStarted(handle, Duration::zero(), now, out);
 }
 
-JobHome::TaskPlace JobHome::locate(const TaskRef &ref)
+JobHome::TaskHandle JobHome::locate(const TaskRef &ref)
 {
     Job *job = find(ref.key);
     if (job == nullptr || job->state == JobState::Answered || ref.index >= job->tasks.size())
@@ -238,53 +249,55 @@
     return {job, ref.index};
 }
 
-JobHome::Try *JobHome::findTry(Task &task, Incarnation agent, std::uint32_t attempt)
+JobHome::Attempt *JobHome::findAttempt(Task &task, Incarnation agent, std::uint32_t number)
 {
-    const auto isSame = [&](const Try &it) { return it.agent == agent && it.attempt == attempt; };
-    const auto it = std::ranges::find_if(task.tries, isSame);
-    return it == task.tries.end() ? nullptr : &*it;
+    const auto isSame = [&](const Attempt &it) { return it.agent == agent && it.number == number; };
+    const auto it = std::ranges::find_if(task.liveAttempts, isSame);
+    return it == task.liveAttempts.end() ? nullptr : &*it;
 }
 
-JobHome::Try *JobHome::boundTry(Task &task)
+JobHome::Attempt *JobHome::unreservedAttempt(Task &task)
 {
-    const auto isBound = [](const Try &it) { return it.state != TryState::Reserved; };
-    const auto it = std::ranges::find_if(task.tries, isBound);
-    return it == task.tries.end() ? nullptr : &*it;
+    const auto isUnreserved = [](const Attempt &it) { return it.state != AttemptState::Reserved; };
+    const auto it = std::ranges::find_if(task.liveAttempts, isUnreserved);
+    return it == task.liveAttempts.end() ? nullptr : &*it;
 }
 
-// After one try is proved not to have started, nor to start later.
-void JobHome::afterNoStart(TaskPlace place, Duration pause, TimePoint now, Outbox &out)
+// Called after an attempt was removed that is proved not to have started and never to start.
+// Requeues the task if that was its last attempt.
+void JobHome::onAttemptNotStarted(TaskHandle handle, Duration pause, TimePoint now, Outbox &out)
 {
-    Job &job = *place.job;
-    Task &task = job.tasks[place.index];
+    Job &job = *handle.job;
+    Task &task = job.tasks[handle.index];
     if (job.state == JobState::GivingUp)
         return checkGivingUp(job, now, out);
-    if (!task.tries.empty() || task.state != TaskState::Active)
+    if (!task.liveAttempts.empty() || task.state != TaskState::Active)
         return;
-    if (++task.bounces > BouncesWithoutPause) {
-        const int doublings = std::min<int>(task.bounces - BouncesWithoutPause, 6);
-        pause = std::max(pause, std::min(FirstBouncePause * (1 << doublings), LongestBouncePause));
+    if (++task.noStartCount > NoStartsWithoutPause) {
+        const int doublings = std::min<int>(task.noStartCount - NoStartsWithoutPause, 6);
+        pause
+            = std::max(pause, std::min(FirstRequeuePause * (1 << doublings), LongestRequeuePause));
     }
-    requeue(place, pause, now);
+    requeue(handle, pause, now);
     placeQueuedTasks(now, out);
 }
 
-void JobHome::taskCompleted(TaskPlace place, Incarnation agent, std::uint32_t attempt,
+void JobHome::taskCompleted(TaskHandle handle, Incarnation agent, std::uint32_t attempt,
                             const TaskResult &result, TimePoint now, Outbox &out)
 {
-    Job &job = *place.job;
-    Task &task = job.tasks[place.index];
+    Job &job = *handle.job;
+    Task &task = job.tasks[handle.index];
     UpstreamStats &stats = statsOf(job.spec.upstream);
-    m_parts.health.succeeded(agent, result.runTime, now);
+    m_deps.health.succeeded(agent, result.runTime, now);
     updateWeight(agent, now);
     stats.budget.success();
-    noteRunTime(stats, result.runTime);
-    uncount(place, result.runTime);
-    if (findTry(task, agent, attempt) != nullptr)
-        removeTry(place, agent, attempt);
-    releaseTries(place, true, out);
-    if (task.token != 0) { // a lost attempt ended well while the task waited for another one
-        m_parts.admission.remove(task.token);
+    addRunTime(stats, result.runTime);
+    countAsEnded(handle, result.runTime);
+    if (findAttempt(task, agent, attempt) != nullptr)
+        removeAttempt(handle, agent, attempt);
+    endAttempts(handle, true, out);
+    if (task.token != 0) { // the result of a lost attempt, while the task was queued again
+        m_deps.admission.remove(task.token);
         m_queued.erase(task.token);
         task.token = 0;
     }
@@ -301,25 +314,26 @@
     finish(job, std::move(answer), now, out);
 }
 
-// The task has started, or may have, and will bring no result from this agent.
-void JobHome::taskFailed(TaskPlace place, Incarnation agent, const std::string &reason,
+// The task has started on this agent, or may have, and no result will come from there. A task of an
+// idempotent job is retried if the budget allows it; otherwise the job is given up.
+void JobHome::taskFailed(TaskHandle handle, Incarnation agent, const std::string &reason,
                          TimePoint now, Outbox &out)
 {
-    Job &job = *place.job;
-    Task &task = job.tasks[place.index];
+    Job &job = *handle.job;
+    Task &task = job.tasks[handle.index];
     task.mayHaveStarted = true;
     if (task.state != TaskState::Active)
         return;
     if (job.state == JobState::GivingUp)
         return checkGivingUp(job, now, out);
     if (job.spec.idempotent) {
-        if (boundTry(task) != nullptr)
-            return; // a hedge is still running
+        if (unreservedAttempt(task) != nullptr)
+            return; // another copy of the task is still running
         if (task.retries < MaxRetries && statsOf(job.spec.upstream).budget.trySpend()) {
             ++task.retries;
             task.excluded.push_back(agent);
-            releaseTries(place, false, out);
-            requeue(place, FirstBouncePause, now);
+            endAttempts(handle, false, out);
+            requeue(handle, FirstRequeuePause, now);
             return;
         }
     }
@@ -327,40 +341,42 @@
     giveUp(job, reason, std::nullopt, now, out);
 }
 
-// Ends every try of the task, so that nothing of it starts later.
-void JobHome::releaseTries(TaskPlace place, bool stopRunning, Outbox &out)
+// Ends every live attempt of the task, so that none starts later. An attempt that runs is stopped
+// only with `stopRunning`.
+void JobHome::endAttempts(TaskHandle handle, bool stopRunning, Outbox &out)
 {
-    const Job &job = *place.job;
-    const TaskRef ref{job.spec.key, place.index};
-    const std::vector<Try> tries = job.tasks[place.index].tries;
-    for (const Try &it : tries) {
-        if (it.state == TryState::Reserved)
-            out.send(it.agent, OfferDeclined{ref, it.attempt});
-        else if (it.state == TryState::Sent || stopRunning)
-            out.send(it.agent, CancelTask{ref, it.attempt, job.epoch});
-        removeTry(place, it.agent, it.attempt);
+    const Job &job = *handle.job;
+    const TaskRef ref{job.spec.key, handle.index};
+    const std::vector<Attempt> attempts = job.tasks[handle.index].liveAttempts;
+    for (const Attempt &it : attempts) {
+        if (it.state == AttemptState::Reserved)
+            out.send(it.agent, OfferDeclined{ref, it.number});
+        else if (it.state == AttemptState::Sent || stopRunning)
+            out.send(it.agent, CancelTask{ref, it.number, job.epoch});
+        removeAttempt(handle, it.agent, it.number);
     }
 }
 
+// Removes the tasks of the job from Admission and ends their attempts.
 void JobHome::releaseTasks(Job &job, Outbox &out)
 {
-    // Nobody waits for the results of a cancelled job. Otherwise running tasks of jobs that must
-    // not be repeated go on, because stopping them half-way helps nobody.
+    // Nobody waits for the results of a cancelled job, and an idempotent task can be run again.
+    // Other running tasks go on, because stopping them half-way helps nobody.
     const bool stopRunning = job.giveUpReason == "cancelled" || job.spec.idempotent;
     for (std::uint16_t n = 0; n < job.taskCount; ++n) {
         Task &task = job.tasks[n];
         if (task.token != 0) {
-            m_parts.admission.remove(task.token);
+            m_deps.admission.remove(task.token);
             m_queued.erase(task.token);
             task.token = 0;
         }
-        releaseTries({&job, n}, stopRunning, out);
-        uncount({&job, n}, std::nullopt);
+        endAttempts({&job, n}, stopRunning, out);
+        countAsEnded({&job, n}, std::nullopt);
     }
 }
 
-// Ends the job without a complete result. The answer is not_run only with the proof that no task
-// started; it waits for that proof a bounded time.
+// Ends the job without a complete result. Its answer is not_run only with the proof that no task
+// has started; it waits for that proof for up to NoStartProofTimeout and is unknown otherwise.
 void JobHome::giveUp(Job &job, const std::string &reason, std::optional<Duration> retryAfter,
                      TimePoint now, Outbox &out)
 {
@@ -369,22 +385,22 @@
     job.state = JobState::GivingUp;
     job.giveUpReason = reason;
     job.giveUpRetry = retryAfter;
-    job.giveUpAt = now + ProofTime;
+    job.giveUpAt = now + NoStartProofTimeout;
     for (std::uint16_t n = 0; n < job.taskCount; ++n) {
         Task &task = job.tasks[n];
-        const std::vector<Try> tries = task.tries;
-        for (const Try &it : tries) {
-            if (it.state == TryState::Reserved) {
-                out.send(it.agent, OfferDeclined{{job.spec.key, n}, it.attempt});
-                removeTry({&job, n}, it.agent, it.attempt);
+        const std::vector<Attempt> attempts = task.liveAttempts;
+        for (const Attempt &it : attempts) {
+            if (it.state == AttemptState::Reserved) {
+                out.send(it.agent, OfferDeclined{{job.spec.key, n}, it.number});
+                removeAttempt({&job, n}, it.agent, it.number);
             }
         }
-        for (Try &it : task.tries) {
-            if (it.state == TryState::Sent)
+        for (Attempt &it : task.liveAttempts) {
+            if (it.state == AttemptState::Sent)
                 it.nextSend = now;
         }
     }
-    wakeAt(job, job.giveUpAt);
+    armTimer(job, job.giveUpAt);
     checkGivingUp(job, now, out);
     if (job.state != JobState::Answered) {
         for (std::uint16_t n = 0; n < job.taskCount; ++n)
@@ -392,13 +408,15 @@
     }
 }
 
+// Answers a job that is given up once a task may have started, or once it is proved that none has
+// and none will.
 void JobHome::checkGivingUp(Job &job, TimePoint now, Outbox &out)
 {
     if (job.state != JobState::GivingUp)
         return;
     if (std::ranges::any_of(job.tasks, &Task::mayHaveStarted))
         return finish(job, unknown(job.giveUpReason), now, out);
-    const auto isProved = [](const Task &task) { return task.tries.empty(); };
+    const auto isProved = [](const Task &task) { return task.liveAttempts.empty(); };
     if (std::ranges::all_of(job.tasks, isProved))
         finish(job, notRun(job.giveUpReason, job.giveUpRetry), now, out);
 }
--- a/src/ledger.cpp
+++ b/src/ledger.cpp
@@ -1,5 +1,5 @@
-// Replays log records into the state that every process agrees on. Each rule here is a pure
-// function of the records so far; a record that breaks a rule has no effect for any reader.
+// Applies log records. What a record does depends only on the records before it, so a record that
+// breaks a rule has no effect for any reader.
 
 #include "ledger.h"
 
@@ -9,16 +9,17 @@
 
 namespace {
 
-// Refused operators read the winner's name here, and 820 changes a day make 20 revisions about half
-// an hour. Older ones are in the log itself until it is trimmed. Bounds the size of a snapshot.
+// Revisions kept, which bounds the size of a snapshot. An operator whose change was refused reads
+// here who made the revision in force. At 820 changes a day, 20 revisions cover about half an hour;
+// older ones are in the log until it is trimmed.
 constexpr std::size_t ConfigHistoryLimit = 20;
 
-// A late copy of an append arrives within seconds. At several hundred appends a second, the log's
-// limit, this many ids cover about ten seconds. A copy that arrives later still does no harm to
-// claims, configurations, leaves and retirements, because their own rules refuse it.
+// Append ids kept. A late copy of an append arrives within seconds. At several hundred appends a
+// second, the log's limit, this many ids cover about ten seconds. A copy of a claim, configuration,
+// leave or retirement that arrives later still does no harm, because their own rules refuse it.
 constexpr std::size_t AppendIdLimit = 4096;
 
-const FleetConfig EmptyFleetConfig;
+const FleetConfig DefaultFleetConfig;
 
 } // namespace
 
@@ -57,7 +58,8 @@
     if (isNew) {
         state.registeredAt = offset;
     } else if (state.hasLeft || state.member.role != body.member.role) {
-        // Its heir answers for it now; a late copy of the registration must not count it again.
+        // The heir of a member that has left answers for it, so a late copy of its registration
+        // must not bring it back.
         return;
     }
     state.member = body.member;
@@ -82,8 +84,8 @@
 void Ledger::applyBody(const ClearRecord &body, LogOffset, LedgerChanges &changes)
 {
     const auto it = m_members.find(body.incarnation);
-    // A member that is already down comes back only by its own registration: it must learn that its
-    // shards may have been claimed.
+    // A member that is already down comes back only by its own registration, because it must first
+    // learn that its shards may have been claimed.
     if (it != m_members.end() && it->second.isUp() && it->second.suspectedBy.erase(body.by) > 0)
         changes.members = true;
 }
@@ -104,7 +106,7 @@
 void Ledger::applyBody(const RetireRecord &body, LogOffset, LedgerChanges &changes)
 {
     const auto it = m_members.find(body.incarnation);
-    // A member that registered again just before the retirement is needed as a witness.
+    // A member that has registered again just before the retirement is still needed as a witness.
     if (it == m_members.end() || it->second.isUp())
         return;
     m_members.erase(it);
@@ -129,33 +131,33 @@
 
 void Ledger::applyBody(const ConfigRecord &body, LogOffset offset, LedgerChanges &changes)
 {
-    ConfigVerdict &verdict = changes.verdict.emplace();
+    ConfigOutcome &outcome = changes.configOutcome.emplace();
     const AcceptedConfig *current = config();
     if (current)
-        verdict.revision = current->revision;
-    if (body.base != verdict.revision) {
+        outcome.revision = current->revision;
+    if (body.base != outcome.revision) {
         if (current) {
-            verdict.winnerOffice = current->office;
-            verdict.winnerAuthor = current->author;
+            outcome.winnerOffice = current->office;
+            outcome.winnerAuthor = current->author;
         }
         return;
     }
     auto parsed = parseFleetConfig(body.text);
     if (!isOk(parsed)) {
-        verdict.errors = errorOf(parsed);
+        outcome.errors = errorOf(parsed);
         return;
     }
-    verdict.accepted = true;
-    verdict.revision = Revision{body.base.value + 1};
-    m_history.push_back({verdict.revision, body.text, body.office, body.author, offset,
+    outcome.accepted = true;
+    outcome.revision = Revision{body.base.value + 1};
+    m_history.push_back({outcome.revision, body.text, body.office, body.author, offset,
                          std::make_shared<const FleetConfig>(std::move(valueOf(parsed)))});
     if (m_history.size() > ConfigHistoryLimit)
         m_history.pop_front();
     changes.config = true;
 }
 
-// A snapshot is a function of the prefix that it names, so a reader that is past it learns nothing
-// from it, and a late copy cannot replace a newer state.
+// A snapshot describes the log up to an offset that this reader has passed, so it has nothing new,
+// and a late copy must not replace a newer state.
 void Ledger::applyBody(const SnapshotRecord &, LogOffset, LedgerChanges &) {}
 
 void Ledger::applyBody(const MalformedRecord &, LogOffset, LedgerChanges &) {}
@@ -166,8 +168,9 @@
         state.suspectedBy.erase(voter);
 }
 
-// Repeats until nothing changes, because an entry that goes down takes its votes along and makes
-// the set of voters smaller.
+// Marks as down each member that at least half of the other entries that are up suspect. Repeats
+// until nothing changes, because an entry that goes down loses its votes and makes the number of
+// voters smaller.
 void Ledger::declareDown()
 {
     const auto isVotedDown = [this](const MemberState &state, std::size_t upEntries) {
@@ -222,9 +225,9 @@
     return result;
 }
 
-std::vector<WitnessDuty> Ledger::witnessesOf(ShardId shard) const
+std::vector<WitnessAssignment> Ledger::witnessesOf(ShardId shard) const
 {
-    std::vector<WitnessDuty> result;
+    std::vector<WitnessAssignment> result;
     const ShardState &state = m_shards[shard.value];
     if (state.epoch.value == 0)
         return result;
@@ -235,8 +238,8 @@
     return result;
 }
 
-// Follows the heirs. A member that is down answers again only after a new registration, so until
-// then its memory counts as lost.
+// Follows the heirs of members that have left. A member that is down answers again only after a new
+// registration; until then nobody can answer for it.
 Incarnation Ledger::answererFor(Incarnation subject) const
 {
     // Each step moves to another member, so more steps than members mean a cycle of heirs.
@@ -253,7 +256,7 @@
 
 const FleetConfig &Ledger::fleetConfig() const
 {
-    return m_history.empty() ? EmptyFleetConfig : *m_history.back().parsed;
+    return m_history.empty() ? DefaultFleetConfig : *m_history.back().parsed;
 }
 
 bool Ledger::hasAppend(const std::string &appendId) const
--- a/src/ledger.h
+++ b/src/ledger.h
@@ -1,5 +1,5 @@
-// The state that the log prefix determines: members, shard owners and the accepted configuration.
-// All processes agree on it at equal offsets.
+// The replicated state of the fleet: members, homes of shards and the accepted configuration. It is
+// a function of the log up to an offset, so all processes agree on it at equal offsets.
 
 #pragma once
 
@@ -22,61 +22,65 @@
 
 namespace cactuscove {
 
+// A process that has registered and is not retired. It counts as a witness of the jobs that it has
+// seen until it is retired, also while it is down or has left.
 struct MemberState
 {
     Member member;
     LogOffset registeredAt;            // of the first registration of this incarnation
-    std::set<Incarnation> suspectedBy; // up entries only
-    bool isDown = false;
-    bool hasLeft = false;
-    Incarnation heir; // answers for its memory once it has left
+    std::set<Incarnation> suspectedBy; // entries that are up and vote for declaring it down
+    bool isDown = false;               // declared down by votes; a new registration ends this
+    bool hasLeft = false;              // shut down in good order
+    Incarnation heir;                  // answers witness rounds for it once it has left; 0 if none
 
     bool isUp() const { return !isDown && !hasLeft; }
 };
 
+// The last valid claim of a shard. The home may meanwhile be down or have left.
 struct ShardState
 {
-    Epoch epoch;
-    Incarnation home;
+    Epoch epoch;      // 0 if the shard has never been claimed
+    Incarnation home; // 0 if the shard has never been claimed
     LogOffset claimedAt;
-    bool transferred = false;
+    bool transferred = false; // the previous home sent its jobs to this one
 };
 
+// One revision of the configuration.
 struct AcceptedConfig
 {
     Revision revision;
-    std::string text;
+    std::string text; // the whole file
     std::string office;
     std::string author;
-    LogOffset offset;
+    LogOffset offset; // of its record
     std::shared_ptr<const FleetConfig> parsed;
 };
 
-// What became of one `config` record.
-struct ConfigVerdict
+// Whether a `config` record was accepted, and why not.
+struct ConfigOutcome
 {
     bool accepted = false;
-    Revision revision;        // accepted: its own; refused: the one in force
+    Revision revision;        // accepted: the new one; refused: the one in force
     std::string winnerOffice; // refused for an old base: who made the revision in force
     std::string winnerAuthor;
-    ConfigErrors errors; // refused for its content
+    ConfigErrors errors; // refused for its content: what is wrong with it
 };
 
-// An incarnation whose memory a new home must ask for, and the process that answers for it.
-struct WitnessDuty
+// A member that may know of jobs of a shard, and the process that a new home has to ask about it.
+struct WitnessAssignment
 {
     Incarnation subject;
-    Role role = Role::Agent;
-    Incarnation answeredBy; // 0 if the memory is lost
+    Role role = Role::Agent; // of the subject
+    Incarnation answeredBy;  // the subject or its heir; 0 if nobody can answer for it
 };
 
-// What one record changed, for the owner of the ledger to react to.
+// What one or more records changed, for the owner of the ledger to react to.
 struct LedgerChanges
 {
     bool members = false;
-    bool config = false;
-    std::vector<ShardId> shards;
-    std::optional<ConfigVerdict> verdict;
+    bool config = false;                        // another configuration is in force
+    std::vector<ShardId> shards;                // with a new home or epoch
+    std::optional<ConfigOutcome> configOutcome; // if the record was a `config` record
 };
 
 struct LedgerError
@@ -84,39 +88,43 @@
     std::string reason;
 };
 
+// Every process keeps one and applies the log to it. A record that breaks a rule has no effect, for
+// any process.
 class Ledger
 {
 public:
     Ledger();
 
-    // Restores the state after snapshot.asOf.
+    // Restores the state after snapshot.asOf. Fails if any part of the snapshot cannot be read.
     static Result<Ledger, LedgerError> fromSnapshot(const SnapshotRecord &snapshot);
 
-    // Records arrive in offset order; one below next() is ignored.
+    // To be called in offset order; a record below next() is ignored.
     LedgerChanges apply(const LogRecord &record);
 
     LogOffset next() const { return m_next; } // first offset not yet applied
-    SnapshotRecord snapshot() const;
+    SnapshotRecord snapshot() const;          // the state before next()
 
     const std::map<Incarnation, MemberState> &members() const { return m_members; }
-    const MemberState *member(Incarnation incarnation) const;
-    bool isUp(Incarnation incarnation) const;
-    std::vector<Incarnation> upMembers(Role role) const; // in incarnation order
+    const MemberState *member(Incarnation incarnation) const; // null if not registered, or retired
+    bool isUp(Incarnation incarnation) const;                 // false for an unknown one
+    std::vector<Incarnation> upMembers(Role role) const;      // in incarnation order
 
     const ShardState &shard(ShardId shard) const { return m_shards[shard.value]; }
     std::vector<ShardId> shardsOf(Incarnation home) const;
-    // Everyone registered before the shard's last claim and not retired (rule R5).
-    std::vector<WitnessDuty> witnessesOf(ShardId shard) const;
+    // Every member that was registered before the shard's last claim and is not retired: all
+    // processes that may know a job of an earlier home (rule R5). Empty if it was never claimed.
+    std::vector<WitnessAssignment> witnessesOf(ShardId shard) const;
 
+    // The configuration in force; null until a file is accepted.
     const AcceptedConfig *config() const { return m_history.empty() ? nullptr : &m_history.back(); }
     const std::deque<AcceptedConfig> &configHistory() const { return m_history; } // newest last
-    // Defaults until a file is accepted.
-    const FleetConfig &fleetConfig() const;
+    const FleetConfig &fleetConfig() const; // in force; the defaults until a file is accepted
 
+    // The append is in the log, as far as the newest append ids are remembered.
     bool hasAppend(const std::string &appendId) const;
 
 private:
-    bool rememberAppend(const std::string &appendId); // false if it is a repeated append
+    bool rememberAppend(const std::string &appendId); // false if the id is known already
     void applyBody(const RegisterRecord &body, LogOffset offset, LedgerChanges &changes);
     void applyBody(const SuspectRecord &body, LogOffset offset, LedgerChanges &changes);
     void applyBody(const ClearRecord &body, LogOffset offset, LedgerChanges &changes);
@@ -129,14 +137,14 @@
     void restore(const Json::Value &json);
     void dropVotesOf(Incarnation voter);
     void declareDown();
-    Incarnation answererFor(Incarnation subject) const; // 0 if its memory is lost
+    Incarnation answererFor(Incarnation subject) const; // 0 if nobody can answer
 
     LogOffset m_next;
     std::map<Incarnation, MemberState> m_members;
     std::array<ShardState, ShardCount> m_shards{};
-    std::deque<AcceptedConfig> m_history;  // at most ConfigHistoryLimit; revisions only rise
-    std::deque<std::string> m_appendOrder; // bounds m_appendIds
-    std::unordered_set<std::string> m_appendIds;
+    std::deque<AcceptedConfig> m_history;        // at most ConfigHistoryLimit; revisions only rise
+    std::deque<std::string> m_appendOrder;       // m_appendIds, oldest first
+    std::unordered_set<std::string> m_appendIds; // the newest AppendIdLimit
 };
 
 } // namespace cactuscove
--- a/src/ledgersnapshot.cpp
+++ b/src/ledgersnapshot.cpp
@@ -1,5 +1,5 @@
-// The whole ledger state as JSON text, and back. The text is canonical: two ledgers at the same
-// offset write the same bytes.
+// Writes the whole ledger state as JSON text and restores it. Two ledgers at the same offset write
+// the same bytes.
 
 #include "jsonfields.h"
 #include "ledger.h"
@@ -43,7 +43,8 @@
     return state;
 }
 
-// Shards are written as [shard, epoch, home, claimed at, transferred] to keep snapshots small.
+// An array [shard, epoch, home, claimed at, transferred] instead of an object keeps snapshots
+// small.
 Json::Value shardToJson(std::uint16_t index, const ShardState &state)
 {
     Json::Value json(Json::arrayValue);
@@ -76,7 +77,7 @@
                           nullptr};
     auto parsed = parseFleetConfig(config.text);
     if (!isOk(parsed))
-        throw FieldError{"accepted configuration is not valid for this version"};
+        throw FieldError{"accepted configuration in the snapshot is not valid for this version"};
     config.parsed = std::make_shared<const FleetConfig>(std::move(valueOf(parsed)));
     return config;
 }
@@ -100,7 +101,8 @@
     Json::Value &appends = json["appends"] = Json::Value(Json::arrayValue);
     for (const std::string &appendId : m_appendOrder)
         appends.append(appendId);
-    // An empty ledger names the offset before 0, which wraps, and fromSnapshot() wraps it back.
+    // For an empty ledger this is the offset before 0, which wraps around to the highest number;
+    // fromSnapshot() wraps it back to 0.
     return {LogOffset{m_next.value - 1}, writeJson(json)};
 }
 
@@ -116,7 +118,7 @@
     } catch (const FieldError &ec) {
         return LedgerError{ec.reason};
     } catch (const Json::Exception &ec) {
-        return LedgerError{ec.what()}; // an array element is of another kind
+        return LedgerError{ec.what()}; // an element of an array has another JSON type
     }
     return ledger;
 }
@@ -130,7 +132,7 @@
     }
     for (const Json::Value &it : array(json, "shards")) {
         if (!it.isArray() || it.size() != 5 || it[0].asUInt() >= ShardCount)
-            throw FieldError{"shard is malformed"};
+            throw FieldError{"shard in the snapshot is malformed"};
         m_shards[it[0].asUInt()] = {Epoch{it[1].asUInt64()}, Incarnation{it[2].asUInt64()},
                                     LogOffset{it[3].asUInt64()}, it[4].asBool()};
     }
--- a/src/shardownership.cpp
+++ b/src/shardownership.cpp
@@ -1,4 +1,5 @@
-// Claims by rendezvous hash, the witness round, and transfers of shards to other homes.
+// Claims of shards by rendezvous hashing, the witness round, and transfers of shards to other
+// homes.
 
 #include "shardownership.h"
 
@@ -13,23 +14,25 @@
 
 namespace {
 
-// A starting fleet shares the unowned shards if its members have registered by then.
+// From an agent's registration to its first claims, so that the agents of a fleet that starts
+// together are all registered and share the shards evenly.
 constexpr Duration ClaimDelay = 1s;
 
-constexpr Duration RoundTime = 2s;
+constexpr Duration WitnessRoundTime = 2s;
 constexpr Duration RaiseInterval = 400ms;
-// After the round a missing witness may come back at any time, so asking goes on at a low rate.
+// A witness that is missing at the end of the round may come back at any time, so the home goes on
+// asking, at a low rate.
 constexpr Duration LateRaiseInterval = 5s;
 
 constexpr Duration PlanInterval = 1s;
-constexpr std::size_t MovesPerInterval = 64;
-// A rebalancing transfer refuses new jobs of its shard while it drains, so it is given up if the
-// jobs in progress take longer. A leaving home waits for them.
+constexpr std::size_t TransfersPerInterval = 64;
+// A shard takes no new jobs while it drains, so a transfer for rebalancing is given up if the jobs
+// in progress take longer than this. A home that leaves waits for them.
 constexpr Duration DrainLimit = 3s;
-constexpr Duration DrainPoll = 50ms;
-constexpr Duration TransferRepeat = 500ms;
+constexpr Duration DrainPollInterval = 50ms;
+constexpr Duration TransferRepeatInterval = 500ms;
 constexpr Duration TransferLimit = 5s;
-// Acknowledgements that arrive close together are claimed with one append.
+// Transfers that are acknowledged within this time of each other are claimed with one append.
 constexpr Duration ClaimBatchDelay = 20ms;
 constexpr Duration ForgetInterval = 10s;
 
@@ -39,7 +42,7 @@
     return XXH3_64bits(input.data(), sizeof(input));
 }
 
-std::optional<Incarnation> heaviest(std::span<const Incarnation> agents, ShardId shard)
+std::optional<Incarnation> highestWeighted(std::span<const Incarnation> agents, ShardId shard)
 {
     std::optional<Incarnation> best;
     std::pair<std::uint64_t, Incarnation> bestWeight;
@@ -53,7 +56,7 @@
     return best;
 }
 
-// Reports of the same job by several witnesses complement one another.
+// Adds what another witness reports of the same job. A completed result replaces any other.
 void merge(WitnessedJob &into, const WitnessedJob &from)
 {
     if (into.contentHash == 0)
@@ -97,11 +100,12 @@
         syncShard(shard, now);
     if (changes.members) {
         for (auto &[shard, owned] : m_owned) {
-            // A transfer to a process that is gone cannot end; before its claim it can be undone.
-            if (owned.move && owned.move->stage != MoveStage::Claiming
-                && !m_ledger.isUp(owned.move->to))
-                owned.move.reset();
-            assess(shard, owned, now);
+            // A transfer to a process that is gone cannot end. It can be undone until its claim is
+            // appended.
+            if (owned.transfer && owned.transfer->stage != TransferStage::Claiming
+                && !m_ledger.isUp(owned.transfer->to))
+                owned.transfer.reset();
+            updateKnowledge(shard, owned, now);
         }
     }
     if (changes.members || !changes.shards.empty())
@@ -113,15 +117,15 @@
 {
     for (auto &[shard, owned] : m_owned) {
         if (owned.roundEnd <= now)
-            assess(shard, owned, now);
+            updateKnowledge(shard, owned, now);
     }
     sendRaises(now, out);
     if (m_nextPlan <= now) {
         m_nextPlan = now + PlanInterval;
         claimShards(now, out);
-        planMoves(now);
+        planTransfers(now);
     }
-    driveMoves(now, out);
+    advanceTransfers(now, out);
     if (m_nextForget <= now) {
         m_nextForget = now + ForgetInterval;
         forgetExpired(now);
@@ -130,14 +134,14 @@
 
 void ShardOwnership::beginLeaving(TimePoint now, Outbox &out)
 {
-    m_leaving = true;
-    planMoves(now);
-    driveMoves(now, out);
+    m_isLeaving = true;
+    planTransfers(now);
+    advanceTransfers(now, out);
 }
 
 std::vector<ReceivedShard> ShardOwnership::takeReceivedShards()
 {
-    return std::exchange(m_arrived, {});
+    return std::exchange(m_received, {});
 }
 
 TimePoint ShardOwnership::nextTimer() const
@@ -145,17 +149,17 @@
     TimePoint next = m_nextPlan;
     for (const auto &[shard, owned] : m_owned) {
         next = std::min({next, owned.roundEnd, owned.nextRaise});
-        if (!owned.move)
+        if (!owned.transfer)
             continue;
-        switch (owned.move->stage) {
-        case MoveStage::Draining:
-        case MoveStage::Sending:
-            next = std::min(next, owned.move->nextStep);
+        switch (owned.transfer->stage) {
+        case TransferStage::Draining:
+        case TransferStage::Sending:
+            next = std::min(next, owned.transfer->nextStep);
             break;
-        case MoveStage::Acknowledged:
-            next = std::min(next, owned.move->since + ClaimBatchDelay);
+        case TransferStage::Acknowledged:
+            next = std::min(next, owned.transfer->since + ClaimBatchDelay);
             break;
-        case MoveStage::Claiming:
+        case TransferStage::Claiming:
             break;
         }
     }
@@ -172,7 +176,7 @@
     const auto it = m_owned.find(shard);
     if (it == m_owned.end())
         return ShardKnowledge::NotHome;
-    if (it->second.move)
+    if (it->second.transfer)
         return ShardKnowledge::Moving;
     return m_isOutOfContact ? ShardKnowledge::Incomplete : it->second.knowledge;
 }
@@ -189,19 +193,21 @@
     return it != m_owned.end() && it->second.isRoundOver;
 }
 
-const WitnessedJob *ShardOwnership::witnessed(const KeyHash &key) const
+const WitnessedJob *ShardOwnership::reportedJob(const KeyHash &key) const
 {
-    const auto it = m_witnessed.find(key);
-    return it == m_witnessed.end() ? nullptr : &it->second.job;
+    const auto it = m_reported.find(key);
+    return it == m_reported.end() ? nullptr : &it->second.job;
 }
 
 bool ShardOwnership::hasNothingToTransfer() const
 {
-    // A shard that is not known completely cannot be handed over: its next home asks the witnesses.
-    const auto canMove = [](const auto &it) {
-        return it.second.move || it.second.knowledge == ShardKnowledge::Complete;
+    // A shard that is not known completely cannot be transferred: its next home has to ask the
+    // witnesses.
+    const auto canTransfer = [](const auto &it) {
+        return it.second.transfer || it.second.knowledge == ShardKnowledge::Complete;
     };
-    return std::ranges::none_of(m_owned, canMove) || m_ledger.upMembers(Role::Agent).size() <= 1;
+    return std::ranges::none_of(m_owned, canTransfer)
+           || m_ledger.upMembers(Role::Agent).size() <= 1;
 }
 
 void ShardOwnership::onWitness(const Witness &witness, TimePoint now)
@@ -215,14 +221,14 @@
         const auto isForShard = [&](const ShardClaim &it) { return it.shard == shard; };
         const auto claim = std::ranges::find_if(witness.claims, isForShard);
         if (claim != witness.claims.end() && isCurrent(*claim))
-            remember(job, now);
+            addReport(job, now);
     }
     for (const ShardClaim &claim : witness.claims) {
         if (!isCurrent(claim))
             continue;
-        Owned &owned = m_owned[claim.shard];
+        OwnedShard &owned = m_owned[claim.shard];
         owned.answered.insert(witness.subject);
-        assess(claim.shard, owned, now);
+        updateKnowledge(claim.shard, owned, now);
     }
 }
 
@@ -233,27 +239,28 @@
     const Epoch current = m_ledger.shard(claim.shard).epoch;
     if (current >= claim.epoch) {
         if (epoch(claim.shard) == claim.epoch)
-            out.send(from, TransferAck{claim}); // a late copy
+            out.send(from, TransferAck{claim}); // a copy that arrives after the claim
         return;
     }
-    if (m_leaving)
-        return; // the sender gives up and chooses another receiver
-    IncomingTable &table = m_incoming[claim.shard];
-    if (table.claim.epoch < claim.epoch)
-        table = {from, claim, {}, {}, now};
-    else if (table.claim.epoch > claim.epoch)
+    if (m_isLeaving)
+        return; // without an acknowledgement the sender chooses another receiver
+    IncomingTransfer &incoming = m_incoming[claim.shard];
+    if (incoming.claim.epoch < claim.epoch)
+        incoming = {from, claim, {}, {}, now};
+    else if (incoming.claim.epoch > claim.epoch)
         return;
-    // The sender may have undone an earlier transfer, accepted jobs and sent again, and the copies
-    // may arrive in any order. So tables are united, and not_run yields to every other outcome.
+    // The sender may have undone an earlier transfer, accepted jobs and started another one, and
+    // the messages may arrive in any order. So their jobs are merged; an answer of not_run is
+    // replaced by any other answer to the same job.
     for (const TransferredJob &job : message.jobs) {
         TransferredJob aged = job;
-        aged.age -= std::chrono::duration_cast<Duration>(now - table.arrivedAt);
-        const auto [it, isNew] = table.jobs.try_emplace(job.key, aged);
+        aged.age -= std::chrono::duration_cast<Duration>(now - incoming.arrivedAt);
+        const auto [it, isNew] = incoming.jobs.try_emplace(job.key, aged);
         if (!isNew && it->second.answer.outcome == Outcome::NotRun)
             it->second = std::move(aged);
     }
-    table.witnessed.insert(table.witnessed.end(), message.witnessed.begin(),
-                           message.witnessed.end());
+    incoming.witnessed.insert(incoming.witnessed.end(), message.witnessed.begin(),
+                              message.witnessed.end());
     out.send(from, TransferAck{claim});
 }
 
@@ -262,21 +269,21 @@
     const auto it = m_owned.find(ack.claim.shard);
     if (it == m_owned.end() || it->second.epoch.value + 1 != ack.claim.epoch.value)
         return;
-    std::optional<Move> &move = it->second.move;
-    if (!move || move->to != from || move->stage != MoveStage::Sending)
+    std::optional<Transfer> &transfer = it->second.transfer;
+    if (!transfer || transfer->to != from || transfer->stage != TransferStage::Sending)
         return;
-    move->stage = MoveStage::Acknowledged;
-    move->since = now;
+    transfer->stage = TransferStage::Acknowledged;
+    transfer->since = now;
 }
 
-// Follows the ledger after it changed the shard.
+// Follows a change of the shard's home or epoch in the ledger.
 void ShardOwnership::syncShard(ShardId shard, TimePoint now)
 {
     const ShardState &state = m_ledger.shard(shard);
     const auto owned = m_owned.find(shard);
     if (owned != m_owned.end() && (state.home != m_self || owned->second.epoch != state.epoch)) {
         m_owned.erase(owned);
-        std::erase_if(m_witnessed, [&](const auto &it) { return shardOf(it.first) == shard; });
+        std::erase_if(m_reported, [&](const auto &it) { return shardOf(it.first) == shard; });
     }
     if (state.home == m_self && !m_owned.contains(shard))
         acquire(shard, now);
@@ -288,53 +295,56 @@
         m_pendingClaims.erase(it);
 }
 
+// This agent is the new home. There is nothing to ask about a shard that had no home before, nor
+// about one whose jobs the previous home has sent; otherwise the witness round begins.
 void ShardOwnership::acquire(ShardId shard, TimePoint now)
 {
     const ShardState &state = m_ledger.shard(shard);
-    Owned &owned = m_owned[shard];
+    OwnedShard &owned = m_owned[shard];
     owned.epoch = state.epoch;
     if (state.epoch.value == 1) {
         owned.knowledge = ShardKnowledge::Complete;
         owned.isRoundOver = true;
         return;
     }
-    const auto table = m_incoming.find(shard);
-    if (state.transferred && table != m_incoming.end()
-        && table->second.claim.epoch == state.epoch) {
+    const auto incoming = m_incoming.find(shard);
+    if (state.transferred && incoming != m_incoming.end()
+        && incoming->second.claim.epoch == state.epoch) {
         owned.knowledge = ShardKnowledge::Complete;
         owned.isRoundOver = true;
-        adoptTable(shard, std::move(table->second), now);
-        m_incoming.erase(table);
+        importTransfer(shard, std::move(incoming->second), now);
+        m_incoming.erase(incoming);
         return;
     }
-    owned.roundEnd = now + RoundTime;
+    owned.roundEnd = now + WitnessRoundTime;
     owned.nextRaise = now;
-    assess(shard, owned, now);
+    updateKnowledge(shard, owned, now);
 }
 
-void ShardOwnership::adoptTable(ShardId shard, IncomingTable table, TimePoint now)
+void ShardOwnership::importTransfer(ShardId shard, IncomingTransfer incoming, TimePoint now)
 {
-    ReceivedShard arrived{{shard, table.claim.epoch}, {}, table.arrivedAt};
-    for (auto &[key, job] : table.jobs)
-        arrived.jobs.push_back(std::move(job));
-    for (const WitnessedJob &job : table.witnessed)
-        remember(job, now);
-    m_arrived.push_back(std::move(arrived));
+    ReceivedShard received{{shard, incoming.claim.epoch}, {}, incoming.arrivedAt};
+    for (auto &[key, job] : incoming.jobs)
+        received.jobs.push_back(std::move(job));
+    for (const WitnessedJob &job : incoming.witnessed)
+        addReport(job, now);
+    m_received.push_back(std::move(received));
 }
 
-// Rule R5: one complete set of witnesses is enough, because a job passes an entry and an agent.
-void ShardOwnership::assess(ShardId shard, Owned &owned, TimePoint now)
+// Every job has passed an entry and an agent, so the shard is known completely once all entries or
+// all agents among the witnesses have answered (rule R5).
+void ShardOwnership::updateKnowledge(ShardId shard, OwnedShard &owned, TimePoint now)
 {
     if (owned.nextRaise == NeverTime)
-        return; // nothing was ever asked, or everything is answered
+        return; // there was nothing to ask, or every answer has arrived
     bool entriesAnswered = true;
     bool agentsAnswered = true;
     bool reachableAnswered = true;
-    for (const WitnessDuty &duty : m_ledger.witnessesOf(shard)) {
-        if (owned.answered.contains(duty.subject))
+    for (const WitnessAssignment &witness : m_ledger.witnessesOf(shard)) {
+        if (owned.answered.contains(witness.subject))
             continue;
-        (duty.role == Role::Entry ? entriesAnswered : agentsAnswered) = false;
-        if (m_ledger.isUp(duty.answeredBy))
+        (witness.role == Role::Entry ? entriesAnswered : agentsAnswered) = false;
+        if (m_ledger.isUp(witness.answeredBy))
             reachableAnswered = false;
     }
     const bool isTimeOver = owned.roundEnd <= now;
@@ -351,12 +361,13 @@
     }
 }
 
+// Claims the shards without a home that is up for which this agent has the highest weight.
 void ShardOwnership::claimShards(TimePoint now, Outbox &out)
 {
-    if (m_leaving || m_registeredAt == NeverTime || now < m_registeredAt + ClaimDelay
+    if (m_isLeaving || m_registeredAt == NeverTime || now < m_registeredAt + ClaimDelay
         || !m_ledger.isUp(m_self))
         return;
-    // A claim that the log has and the ledger did not follow was invalid.
+    // The append is in the log, but syncShard() has not removed the claim: the claim was invalid.
     std::erase_if(m_pendingClaims,
                   [&](const auto &it) { return m_ledger.hasAppend(it.second.appendId); });
     const std::vector<Incarnation> agents = m_ledger.upMembers(Role::Agent);
@@ -366,7 +377,7 @@
         const ShardState &state = m_ledger.shard(shard);
         if (state.epoch.value != 0 && m_ledger.isUp(state.home))
             continue;
-        if (!m_pendingClaims.contains(shard) && heaviest(agents, shard) == m_self)
+        if (!m_pendingClaims.contains(shard) && highestWeighted(agents, shard) == m_self)
             record.claims.push_back({shard, Epoch{state.epoch.value + 1}});
     }
     if (record.claims.empty())
@@ -379,7 +390,8 @@
     out.add(Append{Record{appendId, std::move(record)}});
 }
 
-// One message per process names every shard that it has yet to answer for.
+// Asks the witnesses whose answers are missing. One Raise to each process names all of the shards
+// that it has yet to answer for.
 void ShardOwnership::sendRaises(TimePoint now, Outbox &out)
 {
     std::map<Incarnation, std::vector<ShardClaim>> targets;
@@ -389,9 +401,9 @@
         const bool isLate = owned.roundEnd == NeverTime;
         owned.nextRaise = now + (isLate ? LateRaiseInterval : RaiseInterval);
         std::set<Incarnation> asked;
-        for (const WitnessDuty &duty : m_ledger.witnessesOf(shard)) {
-            const Incarnation to = duty.answeredBy;
-            if (to.value == 0 || owned.answered.contains(duty.subject)
+        for (const WitnessAssignment &witness : m_ledger.witnessesOf(shard)) {
+            const Incarnation to = witness.answeredBy;
+            if (to.value == 0 || owned.answered.contains(witness.subject)
                 || (isLate && !m_ledger.isUp(to)) || !asked.insert(to).second)
                 continue;
             targets[to].push_back({shard, owned.epoch});
@@ -401,6 +413,8 @@
         out.send(to, Raise{std::move(claims)});
 }
 
+// Of the agents with the fewest shards by `load`, the one with the highest weight for this shard;
+// none if all have `limit` shards or more.
 std::optional<Incarnation>
 ShardOwnership::receiverFor(ShardId shard, const std::map<Incarnation, std::size_t> &load,
                             std::size_t limit) const
@@ -413,12 +427,12 @@
         if (count < limit && count == fewest)
             candidates.push_back(agent);
     }
-    return heaviest(candidates, shard);
+    return highestWeighted(candidates, shard);
 }
 
-// Chooses the shards to move and their receivers: all when leaving, else the excess over a fair
-// share.
-void ShardOwnership::planMoves(TimePoint now)
+// Chooses the shards to transfer and their receivers: all shards if this agent is leaving, else
+// those beyond a fair share.
+void ShardOwnership::planTransfers(TimePoint now)
 {
     std::map<Incarnation, std::size_t> load;
     for (const Incarnation agent : m_ledger.upMembers(Role::Agent)) {
@@ -430,20 +444,21 @@
     const std::size_t fairShare = (ShardCount + load.size()) / (load.size() + 1);
     std::size_t kept = 0;
     for (const auto &[shard, owned] : m_owned) {
-        if (owned.move)
-            ++load[owned.move->to];
+        if (owned.transfer)
+            ++load[owned.transfer->to];
         else
             ++kept;
     }
-    const std::size_t excess = m_leaving ? kept : kept - std::min(kept, fairShare);
-    const std::size_t limit = m_leaving ? ShardCount : fairShare;
+    const std::size_t excess = m_isLeaving ? kept : kept - std::min(kept, fairShare);
+    const std::size_t limit = m_isLeaving ? ShardCount : fairShare;
     std::size_t planned = 0;
-    // Idle shards move first, because they refuse no job on the way.
+    // Shards without jobs in progress come first, because they need not drain and so refuse hardly
+    // any job on the way.
     for (const bool wantIdle : {true, false}) {
         for (auto &[shard, owned] : m_owned) {
-            if (planned >= excess || (!m_leaving && planned >= MovesPerInterval))
+            if (planned >= excess || (!m_isLeaving && planned >= TransfersPerInterval))
                 return;
-            if (owned.move || owned.knowledge != ShardKnowledge::Complete
+            if (owned.transfer || owned.knowledge != ShardKnowledge::Complete
                 || (wantIdle && m_jobs != nullptr && m_jobs->hasJobsInProgress(shard)))
                 continue;
             const auto to = receiverFor(shard, load, limit);
@@ -451,72 +466,75 @@
                 return;
             ++load[*to];
             ++planned;
-            owned.move = Move{*to, MoveStage::Draining, now, now};
+            owned.transfer = Transfer{*to, TransferStage::Draining, now, now};
         }
     }
 }
 
-void ShardOwnership::driveMoves(TimePoint now, Outbox &out)
+// Moves each transfer to its next stage, repeats its messages, or gives it up.
+void ShardOwnership::advanceTransfers(TimePoint now, Outbox &out)
 {
     for (auto &[shard, owned] : m_owned) {
-        if (!owned.move)
+        if (!owned.transfer)
             continue;
-        Move &move = *owned.move;
-        if (move.stage == MoveStage::Draining) {
+        Transfer &transfer = *owned.transfer;
+        if (transfer.stage == TransferStage::Draining) {
             if (m_jobs == nullptr || !m_jobs->hasJobsInProgress(shard)) {
-                move.stage = MoveStage::Sending;
-                move.since = now;
-                move.nextStep = now;
-            } else if (!m_leaving && now >= move.since + DrainLimit) {
-                owned.move.reset();
+                transfer.stage = TransferStage::Sending;
+                transfer.since = now;
+                transfer.nextStep = now;
+            } else if (!m_isLeaving && now >= transfer.since + DrainLimit) {
+                owned.transfer.reset();
                 continue;
             } else {
-                move.nextStep = now + DrainPoll;
+                transfer.nextStep = now + DrainPollInterval;
             }
         }
-        if (move.stage == MoveStage::Sending && move.nextStep <= now) {
-            if (now >= move.since + TransferLimit) {
-                owned.move.reset();
+        if (transfer.stage == TransferStage::Sending && transfer.nextStep <= now) {
+            if (now >= transfer.since + TransferLimit) {
+                owned.transfer.reset();
                 continue;
             }
-            move.nextStep = now + TransferRepeat;
+            transfer.nextStep = now + TransferRepeatInterval;
             sendTransfer(shard, owned, now, out);
         }
     }
     claimForReceivers(now, out);
 }
 
-void ShardOwnership::sendTransfer(ShardId shard, Owned &owned, TimePoint now, Outbox &out) const
+void ShardOwnership::sendTransfer(ShardId shard, OwnedShard &owned, TimePoint now,
+                                  Outbox &out) const
 {
     TransferShard message{{shard, Epoch{owned.epoch.value + 1}}, {}, {}};
     if (m_jobs != nullptr)
-        message.jobs = m_jobs->table(shard, now);
-    for (const auto &[key, remembered] : m_witnessed) {
+        message.jobs = m_jobs->answeredJobs(shard, now);
+    for (const auto &[key, reported] : m_reported) {
         if (shardOf(key) == shard)
-            message.witnessed.push_back(remembered.job);
+            message.witnessed.push_back(reported.job);
     }
-    out.send(owned.move->to, std::move(message));
+    out.send(owned.transfer->to, std::move(message));
 }
 
-// From its append on a transfer can no longer be undone, because the append may take effect late.
+// Appends the claims of acknowledged transfers in the name of their receivers. From then on such a
+// transfer cannot be undone, because the append may take effect late.
 void ShardOwnership::claimForReceivers(TimePoint now, Outbox &out)
 {
     std::map<Incarnation, std::vector<ShardClaim>> claims;
     for (auto &[shard, owned] : m_owned) {
-        if (!owned.move || owned.move->stage != MoveStage::Acknowledged
-            || now < owned.move->since + ClaimBatchDelay)
+        if (!owned.transfer || owned.transfer->stage != TransferStage::Acknowledged
+            || now < owned.transfer->since + ClaimBatchDelay)
             continue;
-        owned.move->stage = MoveStage::Claiming;
-        owned.move->since = now;
-        claims[owned.move->to].push_back({shard, Epoch{owned.epoch.value + 1}});
+        owned.transfer->stage = TransferStage::Claiming;
+        owned.transfer->since = now;
+        claims[owned.transfer->to].push_back({shard, Epoch{owned.epoch.value + 1}});
     }
     for (auto &[to, list] : claims)
         out.add(Append{Record{nextAppendId(), ClaimRecord{to, std::move(list), true}}});
 }
 
-void ShardOwnership::remember(const WitnessedJob &job, TimePoint now)
+void ShardOwnership::addReport(const WitnessedJob &job, TimePoint now)
 {
-    const auto [it, isNew] = m_witnessed.try_emplace(job.key, Remembered{job, now});
+    const auto [it, isNew] = m_reported.try_emplace(job.key, ReportedJob{job, now});
     if (!isNew) {
         merge(it->second.job, job);
         it->second.at = now;
@@ -526,7 +544,7 @@
 void ShardOwnership::forgetExpired(TimePoint now)
 {
     const Duration memory = m_ledger.fleetConfig().idMemory;
-    std::erase_if(m_witnessed, [&](const auto &it) { return it.second.at + memory <= now; });
+    std::erase_if(m_reported, [&](const auto &it) { return it.second.at + memory <= now; });
 }
 
 std::string ShardOwnership::nextAppendId()
--- a/src/shardownership.h
+++ b/src/shardownership.h
@@ -1,5 +1,10 @@
-// Which shards this agent is the home of, and whether it knows them completely (rules R1, R5):
-// claims, the witness round after a takeover, and planned transfers.
+// The shards that an agent is the home of: claims of shards without a home, the witness round after
+// a takeover, and planned transfers to other agents.
+//
+// The ledger has at most one home for each epoch of a shard (rule R1). A home may take a job as new
+// only if it knows every job that earlier homes of the shard may have accepted. It learns of them
+// in a witness round, in which it asks the members that were registered before its claim (rule R5),
+// or from the previous home in a transfer.
 
 #pragma once
 
@@ -18,94 +23,107 @@
 
 namespace cactuscove {
 
+// What this agent knows of the jobs of a shard.
 enum class ShardKnowledge {
-    NotHome,    // another process, or nobody, owns the shard
-    Asking,     // the witness round is still within its time
-    Complete,   // an id that is not known here is new
-    Incomplete, // the round has ended without a complete set; unseen ids are unknown
-    Moving,     // being transferred away; no new jobs
+    NotHome,    // another process, or none, is the home
+    Asking,     // the witness round is still running
+    Complete,   // a job that is not known here is new
+    Incomplete, // the round has ended without all answers; whether an unknown job is new is open
+    Moving,     // being transferred to another agent; takes no new jobs
 };
 
-// What a transfer needs to know of the jobs of a shard.
+// What a transfer needs to know of the jobs of a shard. Implemented by JobHome.
 class ShardJobs
 {
 public:
     virtual ~ShardJobs() = default;
-    virtual bool hasJobsInProgress(ShardId shard) const = 0;
-    virtual std::vector<TransferredJob> table(ShardId shard, TimePoint now) const = 0;
+    virtual bool hasJobsInProgress(ShardId shard) const = 0; // jobs that are not answered
+    // The answered jobs of the shard that are not forgotten.
+    virtual std::vector<TransferredJob> answeredJobs(ShardId shard, TimePoint now) const = 0;
 };
 
-// A table that came with a shard, for the new home's job state.
+// The answered jobs of a shard that this agent has become the home of by a transfer.
 struct ReceivedShard
 {
     ShardClaim claim;
-    std::vector<TransferredJob> jobs;
+    std::vector<TransferredJob> jobs; // their ages are as of arrivedAt
     TimePoint arrivedAt;
 };
 
+// Owned by the agent node, which passes it every event before JobHome sees it.
 class ShardOwnership
 {
 public:
-    // `ledger` outlives this object.
+    // `ledger` must outlive this object.
     ShardOwnership(Incarnation self, const Ledger &ledger);
 
     // Commands
-    void setJobs(const ShardJobs *jobs) { m_jobs = jobs; }
+    void setJobs(const ShardJobs *jobs) { m_jobs = jobs; } // once, before any event
+    // Handles Witness, TransferShard and TransferAck; ignores other messages.
     void onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out);
     void onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out);
     void onTimer(TimePoint now, Outbox &out);
-    void beginLeaving(TimePoint now, Outbox &out); // transfers every shard
-    // The ledger is known to hold all that the log held at `contact`. After id_memory without
-    // contact this home takes no new job: by then others may have forgotten it (rule R8).
+    // Starts to transfer every shard and claims no more; for the shutdown of the agent.
+    void beginLeaving(TimePoint now, Outbox &out);
+    // The ledger is known to contain everything that the log held at `contact`. If that is longer
+    // than id_memory ago, this home takes no new jobs: by then the other members may have retired
+    // it as a witness, so that a later home would not ask for the jobs accepted here (rule R8).
     void setLogContact(TimePoint contact, TimePoint now);
+    // The jobs of shards that were transferred to this agent since the last call.
     std::vector<ReceivedShard> takeReceivedShards();
 
     // Queries
-    TimePoint nextTimer() const;
+    TimePoint nextTimer() const; // when onTimer() is due
     ShardKnowledge knowledge(ShardId shard) const;
     Epoch epoch(ShardId shard) const; // of a shard that this agent is the home of, else 0
-    // Every witness that can answer has answered, or the time of the round is over.
+    // Every witness that is up has answered, or the time limit of the witness round has passed.
     bool isRoundOver(ShardId shard) const;
-    // What witnesses said of a key that this home has not accepted itself.
-    const WitnessedJob *witnessed(const KeyHash &key) const;
-    // No shard is left that could be transferred.
+    // What witnesses have reported of a job of an earlier home; null if none has reported the key.
+    const WitnessedJob *reportedJob(const KeyHash &key) const;
+    // No shard can be transferred any more. Shards may be left that are not known completely.
     bool hasNothingToTransfer() const;
 
 private:
-    enum class MoveStage { Draining, Sending, Acknowledged, Claiming };
+    enum class TransferStage {
+        Draining,     // the shard takes no new jobs and waits for the end of those in progress
+        Sending,      // the jobs are sent, repeatedly, until the receiver acknowledges them
+        Acknowledged, // waits for the claim that is appended for several shards at once
+        Claiming      // the claim for the receiver is appended
+    };
 
-    struct Move
+    struct Transfer
     {
         Incarnation to;
-        MoveStage stage = MoveStage::Draining;
-        TimePoint since;    // of the stage
-        TimePoint nextStep; // next look at the jobs in progress, or next TransferShard
+        TransferStage stage = TransferStage::Draining;
+        TimePoint since;    // start of the stage
+        TimePoint nextStep; // next check of the jobs in progress, or next TransferShard
     };
 
-    struct Owned
+    struct OwnedShard
     {
         Epoch epoch;
         ShardKnowledge knowledge = ShardKnowledge::Asking; // never NotHome or Moving
-        TimePoint roundEnd = NeverTime;                    // of the witness round
-        TimePoint nextRaise = NeverTime;
+        TimePoint roundEnd = NeverTime;                    // time limit of the witness round
+        TimePoint nextRaise = NeverTime;                   // never if no answer is missing
         bool isRoundOver = false;
-        std::set<Incarnation> answered; // subjects whose memory is known
-        std::optional<Move> move;
+        std::set<Incarnation> answered; // subjects whose Witness has arrived
+        std::optional<Transfer> transfer;
     };
 
-    struct Remembered
+    struct ReportedJob
     {
-        WitnessedJob job;
-        TimePoint at;
+        WitnessedJob job; // the reports of all witnesses, merged
+        TimePoint at;     // of the newest report
     };
 
-    struct IncomingTable
+    // What a previous home has sent for a shard, until the claim for this agent is in the ledger.
+    struct IncomingTransfer
     {
         Incarnation from;
         ShardClaim claim;
         std::map<JobKey, TransferredJob> jobs;
         std::vector<WitnessedJob> witnessed;
-        TimePoint arrivedAt;
+        TimePoint arrivedAt; // of the first message for this claim
     };
 
     void onWitness(const Witness &witness, TimePoint now);
@@ -114,15 +132,15 @@
     void onTransferAck(Incarnation from, const TransferAck &ack, TimePoint now);
     void syncShard(ShardId shard, TimePoint now);
     void acquire(ShardId shard, TimePoint now);
-    void adoptTable(ShardId shard, IncomingTable table, TimePoint now);
-    void assess(ShardId shard, Owned &owned, TimePoint now);
+    void importTransfer(ShardId shard, IncomingTransfer incoming, TimePoint now);
+    void updateKnowledge(ShardId shard, OwnedShard &owned, TimePoint now);
     void claimShards(TimePoint now, Outbox &out);
     void sendRaises(TimePoint now, Outbox &out);
-    void planMoves(TimePoint now);
-    void driveMoves(TimePoint now, Outbox &out);
-    void sendTransfer(ShardId shard, Owned &owned, TimePoint now, Outbox &out) const;
+    void planTransfers(TimePoint now);
+    void advanceTransfers(TimePoint now, Outbox &out);
+    void sendTransfer(ShardId shard, OwnedShard &owned, TimePoint now, Outbox &out) const;
     void claimForReceivers(TimePoint now, Outbox &out);
-    void remember(const WitnessedJob &job, TimePoint now);
+    void addReport(const WitnessedJob &job, TimePoint now);
     void forgetExpired(TimePoint now);
     std::optional<Incarnation> receiverFor(ShardId shard,
                                            const std::map<Incarnation, std::size_t> &load,
@@ -132,22 +150,22 @@
     Incarnation m_self;
     const Ledger &m_ledger;
     const ShardJobs *m_jobs = nullptr;
-    std::map<ShardId, Owned> m_owned; // exactly the shards whose home is self in the ledger
-    std::unordered_map<KeyHash, Remembered> m_witnessed;
-    std::map<ShardId, IncomingTable> m_incoming; // announced, not yet claimed for self
-    std::vector<ReceivedShard> m_arrived;
+    std::map<ShardId, OwnedShard> m_owned; // exactly the shards whose home is self in the ledger
+    std::unordered_map<KeyHash, ReportedJob> m_reported; // by witnesses, for shards in m_owned
+    std::map<ShardId, IncomingTransfer> m_incoming;      // not yet claimed for self in the ledger
+    std::vector<ReceivedShard> m_received;               // for takeReceivedShards()
     struct PendingClaim
     {
         Epoch epoch;
         std::string appendId;
     };
-    std::map<ShardId, PendingClaim> m_pendingClaims;
-    TimePoint m_registeredAt = NeverTime;
+    std::map<ShardId, PendingClaim> m_pendingClaims; // appended, not yet in the ledger
+    TimePoint m_registeredAt = NeverTime;            // when the ledger first had self
     TimePoint m_nextPlan = NeverTime;
     TimePoint m_nextForget{};
-    std::uint64_t m_appendCount = 0;
-    bool m_leaving = false;
-    bool m_isOutOfContact = false; // with the log
+    std::uint64_t m_appendCount = 0; // makes append ids unique
+    bool m_isLeaving = false;
+    bool m_isOutOfContact = false; // with the log, see setLogContact()
 };
 
 } // namespace cactuscove
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -1,4 +1,5 @@
-// Rules of the replayed log: every reader agrees, and no record that breaks a rule has an effect.
+// The rules by which log records take effect: every reader agrees on the state, and a record that
+// breaks a rule changes nothing.
 
 #include "ledger.h"
 #include "recordcodec.h"
@@ -13,7 +14,7 @@
 
 const char ValidFile[] = "version: 1\n";
 
-// Appends records in order and replays them into one ledger.
+// Numbers records in order and applies them to one ledger.
 class Log
 {
 public:
@@ -43,11 +44,11 @@
 
     Incarnation answererOf(ShardId shard, Incarnation subject) const
     {
-        for (const WitnessDuty &it : ledger.witnessesOf(shard)) {
+        for (const WitnessAssignment &it : ledger.witnessesOf(shard)) {
             if (it.subject == subject)
                 return it.answeredBy;
         }
-        ADD_FAILURE() << "no duty for " << subject.value;
+        ADD_FAILURE() << "not a witness: " << subject.value;
         return {};
     }
 
@@ -57,7 +58,8 @@
     std::uint64_t m_next = 0;
 };
 
-// Two agents that claim after the same death must not both become the home (R1).
+// Guards against two homes of one epoch (rule R1), when two agents claim the shard of the same dead
+// home.
 TEST(Ledger, ClaimIsValidOnlyForTheNextEpoch)
 {
     Log log;
@@ -71,7 +73,8 @@
     EXPECT_TRUE(log.ledger.shardsOf(Agent1).empty());
 }
 
-// A shard given to a member that cannot serve it would be stuck until the next claim.
+// Guards against a home that cannot serve its shard, which would then accept no job until the next
+// claim.
 TEST(Ledger, ClaimForAMemberThatIsNotAnUpAgentIsIgnored)
 {
     Log log;
@@ -83,7 +86,7 @@
         EXPECT_TRUE(log.claim(home, 7, 1).shards.empty()) << home.value;
 }
 
-// One entry with a bad link must not take a member down while the others reach it.
+// Guards against one entry with a bad link that takes a member down although the others reach it.
 TEST(Ledger, MemberIsDownWhenHalfOfTheUpEntriesSuspectIt)
 {
     Log log;
@@ -101,7 +104,7 @@
     EXPECT_EQ(log.ledger.upMembers(Role::Entry), (std::vector{Entry2, Entry3}));
 }
 
-// A vote withdrawn before the second one arrives must not count.
+// Guards against counting a vote that was withdrawn before the second vote arrived.
 TEST(Ledger, ClearWithdrawsAVote)
 {
     Log log;
@@ -113,7 +116,8 @@
     EXPECT_TRUE(log.ledger.isUp(Agent1));
 }
 
-// With dead entries in the count, a fleet with few entries left could declare nobody down.
+// Guards against counting entries that are gone as voters: a fleet with few entries left could then
+// declare nobody down.
 TEST(Ledger, VotesAreCountedAgainWhenAnEntryIsLost)
 {
     Log log;
@@ -126,7 +130,8 @@
     EXPECT_TRUE(log.ledger.isUp(Agent2));
 }
 
-// In a partition two entries suspect each other; log order keeps exactly one of them up.
+// Guards against losing both entries when they suspect each other in a partition: the order of the
+// log must keep exactly one of them up.
 TEST(Ledger, SuspicionByADownEntryHasNoEffect)
 {
     Log log;
@@ -137,8 +142,9 @@
     EXPECT_FALSE(log.ledger.isUp(Entry2));
 }
 
-// A paused process comes back with its memory: it must count as a witness from its first
-// registration on, and old votes must not take it down again.
+// Guards against treating a paused process that registers again as a new one: it still knows its
+// jobs, so it must count as a witness from its first registration on, and old votes must not take
+// it down again.
 TEST(Ledger, SecondRegistrationRevives)
 {
     Log log;
@@ -155,8 +161,8 @@
     EXPECT_EQ(log.answererOf(ShardId{7}, Agent1), Agent1);
 }
 
-// A repeated registration of a process that left would count its memory as present though its heir
-// has it.
+// Guards against a late copy of the registration of a process that has left. The process would then
+// be asked as a witness in place of its heir.
 TEST(Ledger, RegistrationAfterLeaveIsIgnored)
 {
     Log log;
@@ -166,7 +172,8 @@
     EXPECT_FALSE(log.ledger.isUp(Agent1));
 }
 
-// Missing one witness would let a new home call a known job new (R5).
+// Guards against a missing witness, without which a new home could take a known job as new (rule
+// R5).
 TEST(Ledger, WitnessesAreAllRegisteredBeforeTheClaimAndNotRetired)
 {
     Log log;
@@ -176,7 +183,7 @@
     log.claim(Agent1, 7, 1);
     log.add(Role::Agent, {Agent3});
     EXPECT_EQ(log.ledger.witnessesOf(ShardId{7}).size(), 3U);
-    log.append(RetireRecord{Agent1}); // ignored: it is up
+    log.append(RetireRecord{Agent1}); // ignored, because the agent is up
     EXPECT_EQ(log.ledger.witnessesOf(ShardId{7}).size(), 3U);
     log.append(SuspectRecord{Entry1, Agent1});
     log.append(RetireRecord{Agent1});
@@ -184,8 +191,8 @@
     EXPECT_EQ(log.ledger.member(Agent1), nullptr);
 }
 
-// The memory of replaced processes must stay reachable through every heir, and a lost one must not
-// look answered.
+// Guards against losing what replaced processes know of jobs: it must stay reachable through a
+// chain of heirs. If no heir can answer, that must show.
 TEST(Ledger, HeirsAnswerForThoseWhoLeft)
 {
     Log log;
@@ -197,40 +204,44 @@
     EXPECT_EQ(log.answererOf(ShardId{7}, Agent1), Agent3);
     log.append(SuspectRecord{Entry1, Agent3});
     EXPECT_EQ(log.answererOf(ShardId{7}, Agent1), Incarnation{});
-    log.append(LeaveRecord{Agent3, Agent1}); // a cycle of heirs ends nowhere
+    log.append(LeaveRecord{Agent3, Agent1}); // makes a cycle of heirs, none of which can answer
     EXPECT_EQ(log.answererOf(ShardId{7}, Agent1), Incarnation{});
 }
 
-// Both offices apply at once: the first in the log wins and the loser learns who it was.
+// Guards against two offices that overwrite each other's configuration: the first record in the log
+// is accepted, and the refusal of the second names who made the first.
 TEST(Ledger, SecondOfTwoRacingConfigurationsIsRefused)
 {
     Log log;
     const std::string second = std::string(ValidFile) + "id_memory: 1m\n";
-    EXPECT_TRUE(log.append(ConfigRecord{{}, ValidFile, "hollisdale", "ida"}).verdict->accepted);
-    const auto verdict = *log.append(ConfigRecord{{}, second, "maji-baridi", "otieno"}).verdict;
-    EXPECT_FALSE(verdict.accepted);
-    EXPECT_EQ(verdict.revision, Revision{1});
-    EXPECT_EQ(verdict.winnerOffice, "hollisdale");
-    EXPECT_EQ(verdict.winnerAuthor, "ida");
+    EXPECT_TRUE(
+        log.append(ConfigRecord{{}, ValidFile, "hollisdale", "ida"}).configOutcome->accepted);
+    const auto outcome
+        = *log.append(ConfigRecord{{}, second, "maji-baridi", "otieno"}).configOutcome;
+    EXPECT_FALSE(outcome.accepted);
+    EXPECT_EQ(outcome.revision, Revision{1});
+    EXPECT_EQ(outcome.winnerOffice, "hollisdale");
+    EXPECT_EQ(outcome.winnerAuthor, "ida");
     EXPECT_EQ(log.ledger.config()->text, ValidFile);
-    EXPECT_TRUE(log.append(ConfigRecord{{1}, second, "maji-baridi", "otieno"}).verdict->accepted);
+    EXPECT_TRUE(
+        log.append(ConfigRecord{{1}, second, "maji-baridi", "otieno"}).configOutcome->accepted);
     EXPECT_EQ(log.ledger.fleetConfig().idMemory, std::chrono::minutes(1));
 }
 
-// A file that is refused for its content must change nothing and use up no revision.
+// Guards against an invalid file that takes effect or uses up a revision.
 TEST(Ledger, InvalidConfigurationChangesNothing)
 {
     Log log;
     const auto changes = log.append(ConfigRecord{{}, "version: 2\n", "hollisdale", "ida"});
     EXPECT_FALSE(changes.config);
-    EXPECT_FALSE(changes.verdict->accepted);
-    EXPECT_EQ(changes.verdict->errors.size(), 1U);
+    EXPECT_FALSE(changes.configOutcome->accepted);
+    EXPECT_EQ(changes.configOutcome->errors.size(), 1U);
     EXPECT_EQ(log.ledger.config(), nullptr);
     EXPECT_TRUE(log.ledger.fleetConfig().teams.empty());
 }
 
-// An append whose reply was lost is repeated; the copy must have no effect, and the memory of ids
-// must stay bounded.
+// Guards against applying the second copy of an append that was repeated because its reply was
+// lost, and against remembering append ids without bound.
 TEST(Ledger, RepeatedAppendIdIsIgnored)
 {
     Log log;
@@ -246,7 +257,7 @@
     EXPECT_FALSE(log.ledger.hasAppend("a"));
 }
 
-// A snapshot that a reader cannot use in full must be refused, not read as an empty state.
+// Guards against reading a damaged snapshot as an empty or partial state.
 TEST(Ledger, MalformedSnapshotsAreRefused)
 {
     for (const char *state :
@@ -288,8 +299,9 @@
     });
 }
 
-// Readers that start at different snapshots would act on different owners and configurations if any
-// part of the state were left out of a snapshot, or if a late copy of an old one had an effect.
+// Guards against state that is missing from snapshots, and against an effect of a late copy of an
+// old snapshot: readers that start at different snapshots would then act on different homes and
+// configurations.
 RC_GTEST_PROP(LedgerProperty, ReadersFromAnySnapshotAgreeAtTheTip, ())
 {
     const auto bodies = *rc::gen::container<std::vector<RecordBody>>(anyBody());
@@ -317,6 +329,7 @@
     }
 }
 
+// Guards against fields that the record encoding loses or changes.
 RC_GTEST_PROP(LedgerProperty, RecordsSurviveTheirEncoding, ())
 {
     const Record record{"id-1", *anyBody()};
@@ -326,8 +339,8 @@
     RC_ASSERT(valueOf(decoded).body.index() == record.body.index());
 }
 
-// Anyone may append to the stream by mistake; a reader that crashed or guessed would differ from
-// the others.
+// Guards against text in the log that makes a reader crash, or that it reads differently from the
+// others. Anyone may append to the log stream by mistake.
 TEST(RecordCodec, MalformedRecordsAreRefused)
 {
     for (
@@ -346,6 +359,7 @@
     EXPECT_TRUE(isOk(decodeRecord(R"({"id":"a","type":"retire","incarnation":1})")));
 }
 
+// Guards against text on which the decoder crashes.
 RC_GTEST_PROP(RecordCodecProperty, AnyTextIsDecodedOrRefused, (const std::string &text))
 {
     decodeRecord(text);
