--- a/src/snapshotsearch.cpp
+++ b/src/snapshotsearch.cpp
@@ -1,4 +1,4 @@
-// Where a reader starts when the log no longer has the records that it needs.
+// Picks the newest usable snapshot out of a whole read of the log.
 
 #include "snapshotsearch.h"
 
@@ -10,8 +10,9 @@
 
 namespace {
 
-// Entries write a snapshot every 2,000 records, so a longer search means that nobody writes them.
-// The oldest records are then given up, and with them the snapshots that need those.
+// Bounds the memory of a search. Entries write a snapshot every 2,000 records, so this many records
+// after one mean that nobody writes snapshots. The oldest records are then dropped, and with them a
+// snapshot that needs them.
 constexpr std::size_t MaxRecords = 50'000;
 
 } // namespace
