--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -1,4 +1,4 @@
-// Feeds, probes, votes, retirement and snapshot duty of one entry.
+// Feeds, probes, votes, retirement and snapshots of one entry.
 
 #include "membership.h"
 
@@ -16,21 +16,27 @@
 constexpr Duration TickInterval = 100ms;
 constexpr Duration HeartbeatInterval = 1s;
 
-// From the first message without an answer. A call on a silent connection times out after 2 s, and
-// the next one uses a new connection, so a process that is up has answered there by then.
+// From the first unanswered message to the vote against a member. A call on a silent connection
+// times out after 2 s, and the next one uses a new connection, so a process that is up has answered
+// on that one by then.
 constexpr Duration SuspicionTime = 3s;
 
-// A tick that is this late means that this process was paused, and that the silence is its own.
+// A tick that is this late means that this process itself was paused, so that the silence of the
+// others proves nothing.
 constexpr Duration PauseThreshold = 1s;
 
-constexpr Duration RetireMargin = 60s; // rule R8
-// Another entry takes over a retirement that the lowest entry has not done.
+// Beyond the time for which a member that is gone must be kept as a witness (rule R8).
+constexpr Duration RetireMargin = 60s;
+// The other entries retire a member that the lowest entry has not retired after this time.
 constexpr Duration RetireTakeover = 60s;
 
+// A snapshot is due after this many records, and this many times in the time that the log keeps a
+// record.
 constexpr std::uint64_t RecordsPerSnapshot = 2000;
 constexpr int SnapshotsPerRetention = 4;
 
-// An agent that is further behind gets a snapshot, which is about as large as this many records.
+// Records kept for feeds. An agent that is further behind gets a snapshot, which is about as large
+// as this many records.
 constexpr std::size_t MaxRecentRecords = 1000;
 constexpr std::size_t MaxRecentBytes = 4 << 20;
 constexpr std::size_t MaxRecordsPerFeed = 200;
@@ -57,7 +63,7 @@
     , m_logRetention(logRetention)
 {}
 
-void Membership::Watch::noteSent(TimePoint now)
+void Membership::Watch::onSent(TimePoint now)
 {
     nextSend = now + HeartbeatInterval;
     if (unansweredSince == NeverTime)
@@ -85,12 +91,14 @@
         LogRecord record = it;
         ++m_recordsSinceSnapshot;
         if (auto *snapshot = std::get_if<SnapshotRecord>(&record.record.body)) {
-            // A reader that is past the snapshot needs only its append id.
+            // An agent that gets this record in a feed has applied everything before it, so it
+            // needs only the append id and not the state.
             snapshot->state.clear();
             m_recordsSinceSnapshot = 0;
             m_lastSnapshotAt = now;
         } else if (const auto *body = std::get_if<RegisterRecord>(&record.record.body)) {
-            // Its time as a down member starts anew, even if it is down again by the last record.
+            // The member has been up in between, even if it is down again by the last record, so
+            // its time to retirement starts anew.
             m_goneSince.erase(body->member.incarnation);
         }
         m_recentBytes += sizeOf(record);
@@ -104,7 +112,7 @@
         refreshWatches(now);
     for (auto &[incarnation, watch] : m_watches)
         if (watch.isFed && !watch.isFeedInFlight)
-            feed(incarnation, watch, now, out);
+            sendFeed(incarnation, watch, now, out);
 }
 
 void Membership::onRestored(TimePoint now)
@@ -113,14 +121,15 @@
     m_recentBytes = 0;
     m_recordsSinceSnapshot = 0;
     m_lastSnapshotAt = now;
-    // The appends may be among the records that were skipped.
+    // The pending appends may be among the records that were skipped.
     m_pendingSnapshot.clear();
     for (auto &[incarnation, watch] : m_watches)
         watch.pendingVote.clear();
     refreshWatches(now);
 }
 
-// Follows the ledger's members: who is fed from here, who must be watched, and who is gone.
+// Follows the members in the ledger: which agents this entry feeds, which members it watches, and
+// which are gone.
 void Membership::refreshWatches(TimePoint now)
 {
     for (const auto &[incarnation, state] : m_ledger.members()) {
@@ -174,11 +183,11 @@
     Watch &watch = it->second;
     watch.isFeedInFlight = false;
     watch.stamp = std::max(watch.stamp, ack->stamp);
-    // An agent that cannot apply what it gets is asked again by the heartbeat only.
+    // An agent that made no progress cannot apply what it gets; its next feed is a heartbeat.
     const bool isProgress = !watch.acked || ack->next > *watch.acked;
     watch.acked = std::max(watch.acked.value_or(LogOffset{}), ack->next);
     if (watch.isFed && isProgress && *watch.acked < m_ledger.next())
-        feed(from, watch, now, out);
+        sendFeed(from, watch, now, out);
 }
 
 void Membership::onLogReadStarted()
@@ -195,13 +204,14 @@
 
 void Membership::setLogReachable(bool isReachable, TimePoint now)
 {
-    // After an outage the ledger may be behind the fleet, so every silence starts anew.
+    // After an outage the ledger may be out of date, so silence during the outage does not count.
     if (isReachable && !m_isLogReachable)
-        restartSilence(now);
+        restartSilenceTimers(now);
     m_isLogReachable = isReachable;
 }
 
-void Membership::restartSilence(TimePoint now)
+// Counts the silence of every member that has not answered from now on.
+void Membership::restartSilenceTimers(TimePoint now)
 {
     for (auto &[incarnation, watch] : m_watches)
         if (watch.unansweredSince != NeverTime)
@@ -213,37 +223,37 @@
     if (now < m_nextTick)
         return;
     if (now > m_lastTick + TickInterval + PauseThreshold)
-        restartSilence(now);
+        restartSilenceTimers(now);
     m_lastTick = now;
     m_nextTick = now + TickInterval;
     for (auto &[incarnation, watch] : m_watches) {
         if (watch.isWatched && now >= watch.nextSend)
-            contact(incarnation, watch, now, out);
+            sendHeartbeat(incarnation, watch, now, out);
         if (!watch.pendingVote.empty() && m_ledger.hasAppend(watch.pendingVote))
             watch.pendingVote.clear();
         if (watch.isWatched && watch.pendingVote.empty())
-            vote(incarnation, watch, now, out);
+            updateVote(incarnation, watch, now, out);
     }
-    retire(now, out);
-    writeSnapshot(now, out);
+    retireMembers(now, out);
+    appendSnapshotIfDue(now, out);
 }
 
-void Membership::contact(Incarnation to, Watch &watch, TimePoint now, Outbox &out)
+void Membership::sendHeartbeat(Incarnation to, Watch &watch, TimePoint now, Outbox &out)
 {
     if (watch.isFed) {
-        feed(to, watch, now, out);
+        sendFeed(to, watch, now, out);
         return;
     }
-    watch.noteSent(now);
+    watch.onSent(now);
     out.send(to, Probe{});
 }
 
-// Starts at the last acknowledged offset, so that what the agent has applied and what it gets never
-// leave a gap. Until the first acknowledgement nothing is known of the agent, and the feed is
-// empty.
-void Membership::feed(Incarnation to, Watch &watch, TimePoint now, Outbox &out)
+// Sends the records from the last acknowledged offset on, so that the agent never sees a gap, or a
+// snapshot if those records are not kept any more. The feed is empty until the agent's first
+// acknowledgement tells its offset, and while there is nothing new.
+void Membership::sendFeed(Incarnation to, Watch &watch, TimePoint now, Outbox &out)
 {
-    watch.noteSent(now);
+    watch.onSent(now);
     watch.isFeedInFlight = true;
     Feed message;
     if (!watch.acked || *watch.acked >= m_ledger.next()) {
@@ -255,7 +265,8 @@
     const auto first = std::lower_bound(
         m_recent.begin(), m_recent.end(), *watch.acked,
         [](const LogRecord &record, LogOffset offset) { return record.offset < offset; });
-    // A gap is either a trimmed buffer or a malformed record, which no reader applies.
+    // The record at the acknowledged offset is missing here if m_recent was trimmed, or if the log
+    // has a malformed record at that offset.
     if (first == m_recent.end() || first->offset != *watch.acked) {
         message.snapshot = currentSnapshot();
         message.next = m_ledger.next();
@@ -274,9 +285,10 @@
     return *m_snapshot;
 }
 
-// Suspects after a silence, also to answer another entry's suspicion, and takes the vote back at
-// the first sign of life.
-void Membership::vote(Incarnation subject, Watch &watch, TimePoint now, Outbox &out)
+// Votes against a member that has been silent for SuspicionTime, and withdraws the vote once a
+// message from it arrives. A member that another entry suspects is watched too, so that this entry
+// can add its vote.
+void Membership::updateVote(Incarnation subject, Watch &watch, TimePoint now, Outbox &out)
 {
     if (!m_isLogReachable || !m_ledger.isUp(m_self))
         return;
@@ -297,31 +309,33 @@
     out.add(Append{Record{watch.pendingVote, SuspectRecord{m_self, subject}}});
 }
 
-// The lowest up entry does a duty when it is due; the others do it if it is not done in time.
-bool Membership::isDutyDue(TimePoint due, TimePoint now, Duration patience) const
+// Whether this entry has to act now on a duty that is due at `due`. The entry with the lowest
+// incarnation acts at once, the others `takeoverDelay` later if it has not.
+bool Membership::isDutyDue(TimePoint due, TimePoint now, Duration takeoverDelay) const
 {
     const std::vector<Incarnation> entries = m_ledger.upMembers(Role::Entry);
     if (std::find(entries.begin(), entries.end(), m_self) == entries.end())
         return false;
-    return now >= due + (entries.front() == m_self ? Duration::zero() : patience);
+    return now >= due + (entries.front() == m_self ? Duration::zero() : takeoverDelay);
 }
 
-void Membership::retire(TimePoint now, Outbox &out)
+// Retires the members that have been gone for longer than any job that they know of can matter.
+void Membership::retireMembers(TimePoint now, Outbox &out)
 {
     if (!m_isLogReachable)
         return;
-    // A process that is cut off from the log may accept jobs for one id_memory (ShardOwnership::
-    // setLogContact), and each of them must be remembered for another one.
+    // A home that is cut off from the log accepts new jobs for one id_memory more, see
+    // ShardOwnership::setLogContact(), and each of them must be remembered for another id_memory.
     const Duration memory = 2 * m_ledger.fleetConfig().idMemory + RetireMargin;
     for (auto &[incarnation, since] : m_goneSince) {
         if (!isDutyDue(since + memory, now, RetireTakeover))
             continue;
-        since = now; // asks again after the same time, if the record has had no effect
+        since = now; // appends again after the same time if this record has no effect
         out.add(Append{Record{nextAppendId("retire"), RetireRecord{incarnation}}});
     }
 }
 
-void Membership::writeSnapshot(TimePoint now, Outbox &out)
+void Membership::appendSnapshotIfDue(TimePoint now, Outbox &out)
 {
     if (!m_pendingSnapshot.empty()) {
         if (!m_ledger.hasAppend(m_pendingSnapshot))
@@ -329,7 +343,7 @@
         m_pendingSnapshot.clear();
     }
     if (m_lastSnapshotAt == TimePoint{})
-        m_lastSnapshotAt = now; // the age of the last one is unknown to a new process
+        m_lastSnapshotAt = now; // a new process does not know the age of the last snapshot
     const std::vector<Incarnation> entries = m_ledger.upMembers(Role::Entry);
     if (!m_isLogReachable || std::find(entries.begin(), entries.end(), m_self) == entries.end())
         return;
--- a/src/membership.h
+++ b/src/membership.h
@@ -1,5 +1,6 @@
-// An entry's part in keeping the fleet's membership: feeds to the agents, detection of failed
-// processes by votes in the log, retirement of forgotten ones, and snapshots of the ledger.
+// The share of one entry in keeping the membership of the fleet: it feeds log records to agents,
+// votes failed processes down, retires members that nobody needs any more, and appends snapshots of
+// the ledger to the log.
 
 #pragma once
 
@@ -16,60 +17,68 @@
 
 namespace cactuscove {
 
+// Owned by the entry node. Each agent is fed by exactly one of the entries that are up.
 class Membership
 {
 public:
-    // `logRetention`: how long the log keeps a record.
+    // `ledger` must outlive this object. `logRetention`: how long the log keeps a record.
     Membership(Incarnation self, const Ledger &ledger, Duration logRetention);
 
     // Commands
-    // Records that the ledger has just applied, in order.
+    // The ledger has just applied these records, in order.
     void onRecords(std::span<const LogRecord> records, const LedgerChanges &changes, TimePoint now,
                    Outbox &out);
     // The ledger has been restored from a snapshot.
     void onRestored(TimePoint now);
-    void onPeerActivity(Incarnation from, TimePoint now); // any message is a sign of life
+    // An envelope has arrived. Any one shows that its sender is alive.
+    void onPeerActivity(Incarnation from, TimePoint now);
+    // Handles Probe and FeedAck; ignores other messages.
     void onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out);
-    // A read of the log begins, and has later returned the end of the log.
+    // A read of the log begins.
     void onLogReadStarted();
+    // A read has returned all records up to the end of the log.
     void onLogEndRead();
-    void setLogReachable(bool isReachable, TimePoint now); // nobody is suspected during an outage
+    // While the log is unreachable nobody is suspected and nothing is appended.
+    void setLogReachable(bool isReachable, TimePoint now);
     void onTimer(TimePoint now, Outbox &out);
 
     // Queries
-    TimePoint nextTimer() const { return m_nextTick; }
-    Incarnation feederOf(Incarnation agent) const; // 0 without an up entry
+    TimePoint nextTimer() const { return m_nextTick; } // when onTimer() is due
+    // The entry that feeds the agent; 0 if no entry is up.
+    Incarnation feederOf(Incarnation agent) const;
 
 private:
-    // What this entry knows at first hand of one other member that is up.
+    // What this entry itself has observed of another member that is up.
     struct Watch
     {
         bool isFed = false;     // by this entry
-        bool isWatched = false; // fed, an entry, or suspected by anyone
+        bool isWatched = false; // gets heartbeats: fed, an entry, or suspected by anyone
         TimePoint lastHeard;
-        TimePoint unansweredSince = NeverTime; // the first message after lastHeard
-        TimePoint nextSend;
-        TimePoint votedAt = NeverTime;  // of this entry's last suspicion
-        std::string pendingVote;        // append id of a vote that the ledger does not show yet
-        std::optional<LogOffset> acked; // the agent has applied every offset below
-        bool isFeedInFlight = false;
-        // The agent's newest stamp, the one held when the current read of the log began, and the
-        // one held when the newest completed read began.
+        TimePoint unansweredSince = NeverTime; // first message sent to it after lastHeard
+        TimePoint nextSend;                    // of a heartbeat
+        TimePoint votedAt = NeverTime;         // this entry's last vote against it
+        std::string pendingVote; // append id of a vote or its withdrawal, until the ledger has it
+        std::optional<LogOffset> acked; // the agent has applied every offset below; empty: unknown
+        bool isFeedInFlight = false;    // not acknowledged yet
+        // FeedAck::stamp of the agent, in microseconds of its clock: the newest one, the one held
+        // when the current read of the log began, and the one held when the newest completed read
+        // began. At the agent's time confirmedStamp the log held nothing that this entry has not
+        // read.
         std::uint64_t stamp = 0;
         std::uint64_t readingStamp = 0;
         std::uint64_t confirmedStamp = 0;
 
-        void noteSent(TimePoint now);
+        void onSent(TimePoint now);
     };
 
     void refreshWatches(TimePoint now);
-    void restartSilence(TimePoint now);
-    bool isDutyDue(TimePoint due, TimePoint now, Duration patience) const;
-    void contact(Incarnation to, Watch &watch, TimePoint now, Outbox &out);
-    void feed(Incarnation to, Watch &watch, TimePoint now, Outbox &out);
-    void vote(Incarnation subject, Watch &watch, TimePoint now, Outbox &out);
-    void retire(TimePoint now, Outbox &out);
-    void writeSnapshot(TimePoint now, Outbox &out);
+    void restartSilenceTimers(TimePoint now);
+    bool isDutyDue(TimePoint due, TimePoint now, Duration takeoverDelay) const;
+    void sendHeartbeat(Incarnation to, Watch &watch, TimePoint now, Outbox &out);
+    void sendFeed(Incarnation to, Watch &watch, TimePoint now, Outbox &out);
+    void updateVote(Incarnation subject, Watch &watch, TimePoint now, Outbox &out);
+    void retireMembers(TimePoint now, Outbox &out);
+    void appendSnapshotIfDue(TimePoint now, Outbox &out);
     const SnapshotRecord &currentSnapshot();
     std::string nextAppendId(const char *kind);
 
@@ -77,17 +86,17 @@
     const Ledger &m_ledger;
     Duration m_logRetention;
     std::map<Incarnation, Watch> m_watches;       // every other member that is up
-    std::map<Incarnation, TimePoint> m_goneSince; // down or left members, as seen here
+    std::map<Incarnation, TimePoint> m_goneSince; // when this entry saw a member down or leave
     std::deque<LogRecord> m_recent;               // the newest records, for feeds
-    std::size_t m_recentBytes = 0;
-    std::optional<SnapshotRecord> m_snapshot; // cached for agents that are far behind
+    std::size_t m_recentBytes = 0;                // of m_recent, estimated
+    std::optional<SnapshotRecord> m_snapshot;     // cached for agents that are far behind
     std::uint64_t m_recordsSinceSnapshot = 0;
-    TimePoint m_lastSnapshotAt{};
-    std::string m_pendingSnapshot; // append id of a snapshot that the ledger does not show yet
+    TimePoint m_lastSnapshotAt{};  // when the last snapshot record was read; 0 if unknown
+    std::string m_pendingSnapshot; // append id of a snapshot, until the ledger has it
     bool m_isLogReachable = true;
     TimePoint m_lastTick{};
     TimePoint m_nextTick{};
-    std::uint64_t m_appends = 0;
+    std::uint64_t m_appends = 0; // makes append ids unique
 };
 
 } // namespace cactuscove
--- a/tests/entryfleet.h
+++ b/tests/entryfleet.h
@@ -1,4 +1,5 @@
-// Several entry nodes, one log and agents that only answer feeds and probes, in virtual time.
+// Several entry nodes, one log, and simulated agents that only acknowledge feeds and answer probes,
+// all in virtual time. Entries have the incarnations 1, 2, ..., agents 100, 101, ...
 
 #pragma once
 
@@ -26,6 +27,7 @@
         run(2s);
     }
 
+    // Creates an entry, which registers in the log.
     EntryNode &addEntry(Incarnation self)
     {
         auto &node = m_entries[self];
@@ -37,7 +39,7 @@
         return *node;
     }
 
-    // Runs every timer and message of the next `duration`.
+    // Advances the virtual time by `duration` and handles every message and timer of that time.
     void run(Duration duration)
     {
         for (const TimePoint end = m_now + duration;;) {
@@ -64,6 +66,7 @@
         m_wire.push_back({from, to, {}, {std::move(message)}});
     }
 
+    // The records of one kind in the log.
     template <typename T>
     std::vector<T> recordsOf() const
     {
@@ -76,7 +79,7 @@
 
     EntryNode &entry(Incarnation self) { return *m_entries.at(self); }
     Ledger &agentLedger(Incarnation agent) { return m_agents.at(agent); }
-    // As the log has it.
+    // The state after the whole log.
     Ledger ledger() const
     {
         Ledger ledger;
@@ -88,14 +91,15 @@
     TimePoint m_now = Start;
     TestLog m_log;
     bool m_isLogUp = true;
-    std::set<Incarnation> m_stopped;                     // neither run nor answer
-    std::set<std::pair<Incarnation, Incarnation>> m_cut; // from, to
-    std::map<std::pair<Incarnation, Incarnation>, int> m_sent;
-    std::vector<std::pair<Incarnation, Feed>> m_feeds;
+    std::set<Incarnation> m_stopped;                           // neither run nor answer
+    std::set<std::pair<Incarnation, Incarnation>> m_cut;       // from, to: messages are lost
+    std::map<std::pair<Incarnation, Incarnation>, int> m_sent; // messages by sender and receiver
+    std::vector<std::pair<Incarnation, Feed>> m_feeds;         // that agents have received
     std::vector<AnswerCaller> m_answers;
-    std::vector<AdoptWitness> m_adopted;
+    std::vector<AdoptWitness> m_adopted; // sent by leaving entries
 
 private:
+    // Carries out the effects of one entry.
     void perform(Incarnation self, Outbox &out)
     {
         for (Effect &effect : out.take()) {
@@ -112,6 +116,7 @@
         }
     }
 
+    // Delivers appends, log records and messages until none is left.
     void settle()
     {
         do {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,5 @@
-// Feeds, failure detection, retirement, snapshots and shutdown of a group of entries.
+// Feeds, failure detection, retirement, snapshots and shutdown of a group of entries, in virtual
+// time.
 
 #include "entryfleet.h"
 
@@ -9,6 +10,7 @@
 
 constexpr Incarnation Agent{100};
 
+// The entry that sends to the agent in the next 5 s.
 Incarnation feederOf(EntryFleet &fleet, Incarnation agent)
 {
     fleet.m_sent.clear();
@@ -23,6 +25,7 @@
     return feeder;
 }
 
+// Guards against agents that no entry feeds, and against changes that wait for the next heartbeat.
 TEST(MembershipFeeds, EachAgentIsFedByOneEntryEachSecondAndAtOnceOnChange)
 {
     EntryFleet fleet(3, 4);
@@ -35,7 +38,8 @@
         EXPECT_EQ(fleet.agentLedger({100 + i}).shard({5}).home, Agent);
 }
 
-// A lost feed must leave no gap: the next one starts where the agent is.
+// Guards against a gap after a lost feed: the next one must start at the offset that the agent has
+// acknowledged.
 TEST(MembershipFeeds, LostFeedsAreMadeUpFor)
 {
     EntryFleet fleet(1);
@@ -49,8 +53,8 @@
     EXPECT_EQ(fleet.agentLedger(Agent).shard({5}).epoch, Epoch{5});
 }
 
-// An agent further behind than the entry's buffer, or behind a malformed record that no reader
-// has, would never catch up by records.
+// Guards against an agent that never catches up because it is further behind than the records that
+// the entry keeps.
 TEST(MembershipFeeds, AgentFarBehindGetsASnapshot)
 {
     EntryFleet fleet(1);
@@ -67,6 +71,8 @@
     EXPECT_EQ(fleet.agentLedger(Agent).shard({5}).epoch, Epoch{1500});
 }
 
+// Guards against a dead agent that stays up, and against a vote before a message has had the time
+// to be repeated on a new connection.
 TEST(MembershipVotes, SilentAgentIsDownWithinSeconds)
 {
     EntryFleet fleet(3);
@@ -78,7 +84,7 @@
     EXPECT_FALSE(fleet.ledger().isUp(Agent));
 }
 
-// A broken path between one entry and one agent must not take the agent's shards away.
+// Guards against an agent that loses its shards because of a broken path to a single entry.
 TEST(MembershipVotes, AgentThatAnswersOthersStaysUpAndIsCleared)
 {
     EntryFleet fleet(3);
@@ -93,6 +99,7 @@
     EXPECT_TRUE(fleet.ledger().member(Agent)->suspectedBy.empty());
 }
 
+// Guards against agents that get no feed any more after their entry has died.
 TEST(MembershipVotes, DeadEntryIsDownAndItsAgentsAreFedByOthers)
 {
     EntryFleet fleet(3);
@@ -104,8 +111,8 @@
     EXPECT_NE(feederOf(fleet, Agent), feeder);
 }
 
-// During an outage nobody can register again, so nobody may be declared down; the silence of the
-// outage does not count after it either.
+// Guards against votes because of silence during a log outage, when nobody could register again.
+// The silence must not count after the outage either.
 TEST(MembershipVotes, NobodyIsSuspectedDuringALogOutage)
 {
     EntryFleet fleet(3);
@@ -119,7 +126,7 @@
     EXPECT_TRUE(fleet.ledger().isUp(Agent));
 }
 
-// A process that was paused sees everybody silent; the silence is its own.
+// Guards against an entry that was paused and then takes everybody else for silent.
 TEST(MembershipVotes, PausedEntrySuspectsNobody)
 {
     EntryFleet fleet(2, 3);
@@ -135,7 +142,7 @@
     EXPECT_TRUE(fleet.recordsOf<SuspectRecord>().empty());
 }
 
-// Otherwise a process that was declared down by mistake would stay out for good.
+// Guards against a process that was declared down by mistake and stays out for good.
 TEST(MembershipVotes, EntryThatFindsItselfDownRegistersAgain)
 {
     EntryFleet fleet(3);
@@ -149,9 +156,10 @@
     EXPECT_TRUE(fleet.ledger().isUp({2}));
 }
 
-// R8: a member that is forgotten too early is missing from witness rounds, and one that is cut off
-// from the log accepts jobs for one id_memory, each of which counts for another one. A member that
-// is never forgotten makes every round incomplete.
+// Guards against retiring a member too early or never (rule R8). A member that is cut off from the
+// log accepts jobs for one id_memory, and each of them must be known for another one, so until then
+// it is needed as a witness. A dead member that is never retired makes every witness round
+// incomplete.
 TEST(MembershipDuties, DownMemberIsRetiredAfterTwiceIdMemory)
 {
     EntryFleet fleet(3);
@@ -165,6 +173,7 @@
     EXPECT_EQ(fleet.ledger().member(Agent), nullptr);
 }
 
+// Guards against counting the time that a member was down before it registered again.
 TEST(MembershipDuties, RevivedMemberStartsItsTimeAnew)
 {
     EntryFleet fleet(3);
@@ -176,6 +185,8 @@
     EXPECT_TRUE(fleet.recordsOf<RetireRecord>().empty());
 }
 
+// Guards against snapshots that are missing after many records or a long time, or that every entry
+// writes.
 TEST(MembershipDuties, LowestEntryWritesSnapshotsByRecordsAndByTime)
 {
     EntryFleet fleet(3, 1, 400s);
@@ -191,11 +202,11 @@
     EXPECT_EQ(fleet.recordsOf<SnapshotRecord>().size(), 2u);
 }
 
-// Without a snapshot in time, a trimmed log could not be read by a new process at all.
+// Guards against a trimmed log without a snapshot, which a new process could not read at all.
 TEST(MembershipDuties, OthersWriteTheSnapshotIfTheLowestEntryDoesNot)
 {
     EntryFleet fleet(2, 1, 400s);
-    fleet.m_log.append(RegisterRecord{member(50, Role::Entry)}); // up by the log, answers nobody
+    fleet.m_log.append(RegisterRecord{member(50, Role::Entry)}); // registered, but does not exist
     EntryFleet second(1, 1, 400s);
     second.m_log.append(LeaveRecord{{1}, {}});
     second.run(1s);
@@ -206,6 +217,7 @@
     EXPECT_TRUE(second.recordsOf<SnapshotRecord>().empty()) << "a process that left has no duty";
 }
 
+// Three entries and one agent that is the home of every shard.
 class ShutdownTest : public testing::Test
 {
 protected:
@@ -236,6 +248,7 @@
         m_fleet.entry(entry).beginShutdown(m_fleet.m_now, out);
         EXPECT_TRUE(out.isEmpty() || m_fleet.entry(entry).rememberedKeyCount() == 0);
     }
+    // Number of keys that the entry reports for the shard of `key` in the name of `subject`.
     std::size_t witnessedBy(Incarnation entry, Incarnation subject, const JobKey &key)
     {
         Outbox out;
@@ -244,7 +257,7 @@
         for (const auto &[to, witness] : sentOf<Witness>(out.take()))
             if (witness.subject == subject)
                 return witness.jobs.size();
-        ADD_FAILURE() << "no answer for the subject";
+        ADD_FAILURE() << "no Witness for the subject";
         return 0;
     }
 
@@ -252,7 +265,8 @@
     std::uint64_t m_lastCaller = 0;
 };
 
-// Invariants 3 and 7: a shutdown cuts off no caller, and its memory stays known.
+// Guards against a shutdown that leaves a caller without its answer, or that loses the keys of
+// forwarded jobs.
 TEST_F(ShutdownTest, CallersAreAnsweredThenMemoryIsHandedOverThenItLeaves)
 {
     const JobKey key{"team/j"};
@@ -273,7 +287,8 @@
     EXPECT_EQ(witnessedBy(left[0].heir, {1}, key), 1u);
 }
 
-// A leave record before the last acknowledgement would leave a gap in the heir's memory.
+// Guards against a leave record before the last acknowledgement: the heir would then report only a
+// part of the keys.
 TEST_F(ShutdownTest, LeavesOnlyAfterEveryPartIsAcknowledged)
 {
     for (const char *id : {"a", "b"}) {
@@ -285,7 +300,7 @@
     m_fleet.entry({1}).beginShutdown(m_fleet.m_now, out);
     const auto parts = sentOf<AdoptWitness>(out.take());
     ASSERT_EQ(parts.size(), 2u);
-    for (int i = 0; i < 5; ++i) { // a doubled acknowledgement counts once
+    for (int i = 0; i < 5; ++i) { // repeated acknowledgements of one part count once
         m_fleet.entry({1}).onEnvelope({{3}, {1}, {}, {AdoptAck{{1}, parts[0].second.part}}},
                                       m_fleet.m_now, out);
         EXPECT_TRUE(appendsOf<LeaveRecord>(out.take()).empty());
@@ -295,9 +310,10 @@
     EXPECT_EQ(appendsOf<LeaveRecord>(out.take()).size(), 1u);
 }
 
+// Guards against a leave record that names an heir that does not have the keys.
 TEST_F(ShutdownTest, SilentHeirIsReplacedBeforeTheLeaveRecord)
 {
-    for (int i = 0; i < 20; ++i) { // more parts than may be in flight
+    for (int i = 0; i < 20; ++i) { // more parts than are sent at a time
         submit({1}, "j" + std::to_string(i));
         answer({1}, "j" + std::to_string(i));
     }
@@ -314,6 +330,7 @@
         EXPECT_EQ(witnessedBy({2}, {1}, {"team/j" + std::to_string(i)}), 1u);
 }
 
+// Guards against a last entry that waits for an heir for ever.
 TEST_F(ShutdownTest, LastEntryLeavesWithoutAnHeir)
 {
     EntryFleet fleet(1);
