--- a/src/entrymemory.cpp
+++ b/src/entrymemory.cpp
@@ -1,4 +1,4 @@
-// Open-addressing tables of 24-byte slots, one per shard.
+// Hash tables with open addressing and slots of 24 bytes, one table for each shard.
 
 #include "entrymemory.h"
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Between growth steps a table is 68 % to 85 % full, so that a key costs 28 to 35 bytes. Doubling
-// would cost up to 57, because all shards grow at about the same count.
+// A table that grows stays between 68 % and 85 % full, so that a key costs 28 to 35 bytes. If
+// tables doubled, it could cost 57 bytes, because all shards grow at about the same count.
 constexpr std::size_t MaxFillPercent = 85;
 constexpr std::size_t GrowthPercent = 125;
 constexpr std::size_t MinSlots = 8;
@@ -18,11 +18,13 @@
 // With one call each second, a full cycle of 64 s keeps about a tenth more than the live keys.
 constexpr std::uint16_t ShardsPerSweep = 8;
 
-constexpr std::uint32_t ForgottenSecond = 1; // occupies a slot, but counts as expired
+// Slot::expires is seconds of the clock plus FirstSecond; the values below that are special.
+constexpr std::uint32_t ForgottenSecond = 1; // of an occupied slot that counts as expired
 constexpr std::uint32_t FirstSecond = 2;
 
 } // namespace
 
+// Rounds up, so that a key is never dropped early.
 std::uint32_t EntryMemory::secondsOf(TimePoint time)
 {
     const auto n = std::chrono::ceil<std::chrono::seconds>(time.time_since_epoch()).count();
@@ -30,8 +32,9 @@
            + FirstSecond;
 }
 
-// The low half of the hash has chosen the shard already, so the high half chooses the slot.
-std::size_t EntryMemory::homeSlot(const KeyHash &key, std::size_t slots)
+// Where the search for a key begins. The low half of the hash has chosen the shard already, so the
+// high half chooses the slot.
+std::size_t EntryMemory::firstSlot(const KeyHash &key, std::size_t slots)
 {
     return static_cast<std::size_t>(((key.high >> 32) * slots) >> 32);
 }
@@ -40,7 +43,7 @@
 {
     if (table.empty())
         return nullptr;
-    for (std::size_t i = homeSlot(key, table.size());; i = i + 1 == table.size() ? 0 : i + 1) {
+    for (std::size_t i = firstSlot(key, table.size());; i = i + 1 == table.size() ? 0 : i + 1) {
         const Slot &slot = table[i];
         if (slot.expires == 0)
             return nullptr;
@@ -56,13 +59,13 @@
 
 void EntryMemory::insert(Table &table, const Slot &slot)
 {
-    std::size_t i = homeSlot({slot.high, slot.low}, table.size());
+    std::size_t i = firstSlot({slot.high, slot.low}, table.size());
     while (table[i].expires != 0)
         i = i + 1 == table.size() ? 0 : i + 1;
     table[i] = slot;
 }
 
-// Copies the live keys into a table of the right size; expired ones are dropped on the way.
+// Copies the keys that have not expired at second `now` into a table of `slots` slots.
 void EntryMemory::resize(ShardId shard, std::size_t slots, std::uint32_t now)
 {
     Table next(slots);
--- a/src/jobrouter.cpp
+++ b/src/jobrouter.cpp
@@ -1,5 +1,5 @@
-// Forwarding of jobs and the callers that wait for them. The memory and the witness replies are in
-// jobrouterwitness.cpp.
+// Forwarding of jobs, and the callers that wait for them. The remembered keys and the replies to
+// witness rounds are in jobrouterwitness.cpp.
 
 #include "jobrouter.h"
 
@@ -13,21 +13,23 @@
 
 namespace {
 
-// A repeat costs one small message per waiting job and second.
+// A pending job costs one small message in each interval.
 constexpr Duration RepeatInterval = std::chrono::seconds(1);
 
-// A refusal tells of a claim or a transfer that the ledger shows within milliseconds.
+// From a refusal to the next forward, doubled with each refusal in a row. The claim or transfer
+// behind a refusal shows in the ledger within milliseconds.
 constexpr Duration FirstRefusalPause = std::chrono::milliseconds(50);
 constexpr std::uint32_t MaxRefusalShift = 5; // 50 ms << 5 is beyond RepeatInterval
 
-// Without a word from the home for this long the caller is told so.
-constexpr Duration Patience = std::chrono::seconds(5);
+// Callers are answered home_unreachable if the home sends nothing about their job for this long.
+constexpr Duration HomeTimeout = std::chrono::seconds(5);
 
-// Spread over a span that is as long as a takeover, so that callers do not come back together.
+// Retry times are spread over about the time of a takeover, so that callers do not come back
+// together.
 constexpr Duration MinRetryTime = std::chrono::seconds(1);
 constexpr std::uint64_t RetrySpreadUs = 4'000'000;
 
-// Keeps the memory of keys near 120 MB when jobs flood in far beyond the expected rate.
+// Keeps the remembered keys near 120 MB when jobs arrive at far more than the expected rate.
 constexpr std::size_t MaxRememberedKeys = 4'000'000;
 
 constexpr Duration SweepInterval = std::chrono::seconds(1);
@@ -49,16 +51,16 @@
     , m_ledger(ledger)
 {}
 
-JobRouter::Pending &JobRouter::pendingFor(const JobKey &key, TimePoint now)
+JobRouter::PendingJob &JobRouter::pendingFor(const JobKey &key, TimePoint now)
 {
     const auto [it, isNew] = m_jobs.try_emplace(key);
-    Pending &job = it->second;
+    PendingJob &job = it->second;
     if (isNew) {
         job.serial = ++m_lastSerial;
         job.hash = hashOf(key);
         job.startedAt = now;
         job.deadline = NeverTime;
-        job.patienceEnd = now + Patience;
+        job.homeTimeoutAt = now + HomeTimeout;
         job.nextSend = now;
     }
     return job;
@@ -69,11 +71,11 @@
 {
     const JobKey key = spec.key;
     if (m_memory.size() >= MaxRememberedKeys) {
-        // Not not_run, because another entry may have forwarded the same key.
+        // The answer is not not_run, because another entry may have forwarded the same key.
         out.add(AnswerCaller{caller, key, unknownAnswer("entry_overloaded", hashOf(key), 0)});
         return;
     }
-    Pending &job = pendingFor(key, now);
+    PendingJob &job = pendingFor(key, now);
     if (job.spec && job.spec->contentHash != spec.contentHash) {
         out.add(AnswerCaller{caller, key, SubmitRefusal::ContentMismatch});
         return;
@@ -86,13 +88,13 @@
     } else if (waitUntil <= now) {
         acceptDueWaiters(key, job, now, out);
     }
-    update(key);
+    dropOrArmTimer(key);
 }
 
-void JobRouter::addSpec(Pending &job, JobSpec spec, TraceContext trace, TimePoint now)
+void JobRouter::addSpec(PendingJob &job, JobSpec spec, TraceContext trace, TimePoint now)
 {
     job.deadline = now + spec.deadline;
-    job.patienceEnd = now + Patience;
+    job.homeTimeoutAt = now + HomeTimeout;
     job.isAccepted = false;
     job.spec = std::move(spec);
     job.parent = std::move(trace);
@@ -108,25 +110,25 @@
 void JobRouter::query(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now,
                       Outbox &out)
 {
-    Pending &job = pendingFor(key, now);
+    PendingJob &job = pendingFor(key, now);
     job.waiters.push_back({caller, Request::Query, waitUntil});
     m_callers[caller] = key;
     if (job.home.value == 0)
         forward(key, job, now, out);
     else
         acceptDueWaiters(key, job, now, out);
-    update(key);
+    dropOrArmTimer(key);
 }
 
 void JobRouter::cancel(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now,
                        Outbox &out)
 {
-    Pending &job = pendingFor(key, now);
+    PendingJob &job = pendingFor(key, now);
     job.waiters.push_back({caller, Request::Cancel, waitUntil});
     m_callers[caller] = key;
     job.wantsCancel = true;
     forward(key, job, now, out);
-    update(key);
+    dropOrArmTimer(key);
 }
 
 void JobRouter::callerDisconnected(CallerId caller)
@@ -136,12 +138,12 @@
         return;
     const JobKey key = it->second;
     m_callers.erase(it);
-    Pending &job = m_jobs.at(key);
+    PendingJob &job = m_jobs.at(key);
     std::erase_if(job.waiters, [&](const Waiter &waiter) { return waiter.caller == caller; });
-    update(key);
+    dropOrArmTimer(key);
 }
 
-void JobRouter::forward(const JobKey &key, Pending &job, TimePoint now, Outbox &out)
+void JobRouter::forward(const JobKey &key, PendingJob &job, TimePoint now, Outbox &out)
 {
     const ShardId shard = shardOf(job.hash);
     job.nextSend = now + RepeatInterval;
@@ -166,7 +168,7 @@
         out.send(home, CancelJob{key, job.epoch, now.time_since_epoch()});
 }
 
-// 0 if there is none that could answer, or while this process is not active.
+// The process to forward to; 0 if it is down or has left, or while this process is not registered.
 Incarnation JobRouter::homeOf(ShardId shard) const
 {
     if (!m_ledger.member(m_self))
@@ -195,7 +197,7 @@
 }
 
 // The job, if the sender is the home that it was last forwarded to, at the same epoch.
-JobRouter::Pending *JobRouter::pendingAt(const JobKey &key, Incarnation home, Epoch epoch)
+JobRouter::PendingJob *JobRouter::pendingJobAt(const JobKey &key, Incarnation home, Epoch epoch)
 {
     const auto it = m_jobs.find(key);
     if (it == m_jobs.end() || it->second.home != home || it->second.epoch != epoch)
@@ -205,15 +207,15 @@
 
 void JobRouter::onAccepted(Incarnation from, const JobAccepted &message, TimePoint now, Outbox &out)
 {
-    Pending *job = pendingAt(message.key, from, message.epoch);
+    PendingJob *job = pendingJobAt(message.key, from, message.epoch);
     if (!job)
         return;
     job->isAccepted = true;
     job->wasAccepted = true;
     job->refusals = 0;
-    job->patienceEnd = now + Patience;
+    job->homeTimeoutAt = now + HomeTimeout;
     acceptDueWaiters(message.key, *job, now, out);
-    update(message.key);
+    dropOrArmTimer(message.key);
 }
 
 // A completed answer is true whichever home gives it. The others are taken only from the home that
@@ -224,16 +226,17 @@
     if (it == m_jobs.end())
         return;
     if (message.answer.outcome != Outcome::Completed
-        && !pendingAt(message.key, from, message.epoch))
+        && !pendingJobAt(message.key, from, message.epoch))
         return;
-    // After its retry time the key is new, and a repeat of this entry may have started the job. An
-    // answer may have been under way for longer than that, so it is asked for once more.
+    // After the retry time of a not_run answer the key is new, so a later forward of this entry may
+    // have started the job. An answer that may have been under way for longer than its retry time
+    // is therefore asked for once more.
     const std::optional<Duration> &retryAfter = message.answer.retryAfter;
     const bool isStale = message.answer.outcome == Outcome::NotRun && retryAfter
                          && now.time_since_epoch() - message.askedAt >= *retryAfter;
     if (isStale) {
         it->second.nextSend = now;
-        update(message.key);
+        dropOrArmTimer(message.key);
         return;
     }
     answerAll(message.key, it->second, message.answer, now, out);
@@ -245,7 +248,7 @@
     const auto it = m_jobs.find(message.key);
     if (it == m_jobs.end() || it->second.home != from)
         return;
-    Pending &job = it->second;
+    PendingJob &job = it->second;
     if (message.reason == SubmitRefusal::ContentMismatch) {
         // Callers that only query or cancel do not depend on the content.
         std::erase_if(job.waiters, [&](const Waiter &waiter) {
@@ -256,29 +259,29 @@
             return true;
         });
         job.spec.reset();
-        update(message.key);
+        dropOrArmTimer(message.key);
         return;
     }
-    // The answer to an earlier forward says nothing about the last one.
+    // A reply to an earlier forward says nothing about the last one.
     if (message.homeEpoch < job.epoch && message.reason == SubmitRefusal::Moving)
         return;
     if (message.reason == SubmitRefusal::Moving)
-        job.patienceEnd = now + Patience; // it answers, and the table is on its way
+        job.homeTimeoutAt = now + HomeTimeout; // the home is alive and transfers the shard
     job.isAccepted = false;
     job.nextSend = std::min(
         job.nextSend, now + std::min(RepeatInterval, FirstRefusalPause * (1 << job.refusals)));
     job.refusals = std::min(job.refusals + 1, MaxRefusalShift);
-    update(message.key);
+    dropOrArmTimer(message.key);
 }
 
 void JobRouter::onNotFound(Incarnation from, const JobNotFound &message, TimePoint now, Outbox &out)
 {
-    Pending *job = pendingAt(message.key, from, message.epoch);
+    PendingJob *job = pendingJobAt(message.key, from, message.epoch);
     if (!job)
         return;
     if (job->spec) {
-        // A query overtook the job, or the home has forgotten it after the retry time of an answer
-        // that was lost on the way here.
+        // A query overtook the job, or the home has forgotten the job after the retry time of an
+        // answer that was lost on the way here. The job is forwarded again.
         job->isAccepted = false;
         return;
     }
@@ -290,7 +293,8 @@
     drop(message.key);
 }
 
-void JobRouter::acceptDueWaiters(const JobKey &key, Pending &job, TimePoint now, Outbox &out)
+// Replies JobAccepted to the callers whose waitUntil has come, if the home has accepted the job.
+void JobRouter::acceptDueWaiters(const JobKey &key, PendingJob &job, TimePoint now, Outbox &out)
 {
     if (!job.isAccepted)
         return;
@@ -303,7 +307,7 @@
     });
 }
 
-void JobRouter::answerAll(const JobKey &key, Pending &job, const Answer &answer, TimePoint now,
+void JobRouter::answerAll(const JobKey &key, PendingJob &job, const Answer &answer, TimePoint now,
                           Outbox &out)
 {
     for (const Waiter &waiter : job.waiters) {
@@ -311,10 +315,10 @@
         m_callers.erase(waiter.caller);
     }
     emitSpan(key, job, nameOf(answer.outcome), now, out);
-    drop(JobKey(key)); // the key may belong to the job itself
+    drop(JobKey(key)); // a copy, because `key` may be the one in m_jobs
 }
 
-void JobRouter::emitSpan(const JobKey &key, const Pending &job, std::string_view outcome,
+void JobRouter::emitSpan(const JobKey &key, const PendingJob &job, std::string_view outcome,
                          TimePoint now, Outbox &out) const
 {
     if (job.trace.spanId.empty())
@@ -331,48 +335,52 @@
 
 void JobRouter::onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out)
 {
-    redirect(changes.shards, changes.members, now, out);
+    forwardToNewHomes(changes.shards, changes.members, now, out);
 }
 
-// Sends every job of the shards to its new home at once and restarts its patience.
-void JobRouter::redirect(std::span<const ShardId> shards, bool membersChanged, TimePoint now,
-                         Outbox &out)
+// Forwards every job of the shards whose home or epoch has changed at once and restarts its
+// HomeTimeout.
+void JobRouter::forwardToNewHomes(std::span<const ShardId> shards, bool membersChanged,
+                                  TimePoint now, Outbox &out)
 {
     std::bitset<ShardCount> isMoved;
     for (const ShardId shard : shards)
         isMoved.set(shard.value);
     if ((isMoved.none() && !membersChanged) || m_jobs.empty())
         return;
-    std::vector<std::pair<std::uint64_t, const JobKey *>> moved; // in an order that repeats
+    // Sorted by serial below, so that every run has the same order.
+    std::vector<std::pair<std::uint64_t, const JobKey *>> moved;
     for (const auto &[key, job] : m_jobs) {
         const ShardId shard = shardOf(job.hash);
         const Incarnation home = homeOf(shard);
-        // Jobs without a home wait for one to come up again, or for this process to be active.
+        // Jobs that were not forwarded yet wait for their home to come up again, or for this
+        // process to be registered.
         const bool hasNewHome = job.home != home || job.epoch != fence(shard);
         if (home.value != 0 && hasNewHome && (isMoved[shard.value] || job.home.value == 0))
             moved.emplace_back(job.serial, &key);
     }
     std::sort(moved.begin(), moved.end());
     for (const auto &[serial, key] : moved) {
-        Pending &job = m_jobs.at(*key);
-        job.patienceEnd = now + Patience;
+        PendingJob &job = m_jobs.at(*key);
+        job.homeTimeoutAt = now + HomeTimeout;
         forward(*key, job, now, out);
-        update(*key);
+        dropOrArmTimer(*key);
     }
 }
 
-// A job that a home has had waits on as long as its home answers, also beyond the deadline: tasks
-// that started in time may still run.
-TimePoint JobRouter::giveUpAt(const Pending &job)
+// When the callers of a job are answered without its home. A job that a home has accepted is kept
+// as long as the home replies, also beyond the deadline, because tasks that started in time may
+// still run.
+TimePoint JobRouter::giveUpAt(const PendingJob &job)
 {
-    return job.wasAccepted ? job.patienceEnd : std::min(job.patienceEnd, job.deadline);
+    return job.wasAccepted ? job.homeTimeoutAt : std::min(job.homeTimeoutAt, job.deadline);
 }
 
 void JobRouter::onTimer(TimePoint now, Outbox &out)
 {
     while (!m_timers.empty() && std::get<0>(*m_timers.begin()) <= now) {
         const JobKey key = *std::get<2>(*m_timers.begin());
-        Pending &job = m_jobs.at(key);
+        PendingJob &job = m_jobs.at(key);
         if (now >= giveUpAt(job)) {
             answerAll(key, job, unknownAnswer("home_unreachable", job.hash, job.serial), now, out);
             continue;
@@ -380,7 +388,7 @@
         acceptDueWaiters(key, job, now, out);
         if (now >= job.nextSend)
             forward(key, job, now, out);
-        update(key);
+        dropOrArmTimer(key);
     }
     if (now >= m_nextSweep) {
         m_memory.sweep(now);
@@ -388,30 +396,31 @@
     }
 }
 
-// Sets the timer after any change. A job that nobody waits for is kept until its home has it.
-void JobRouter::update(const JobKey &key)
+// To be called after any change of a pending job. Removes the job if no caller waits for it and its
+// home has accepted it, else sets its timer.
+void JobRouter::dropOrArmTimer(const JobKey &key)
 {
     const auto it = m_jobs.find(key);
-    Pending &job = it->second;
+    PendingJob &job = it->second;
     if (job.waiters.empty() && (job.isAccepted || !job.spec)) {
         drop(JobKey(key));
         return;
     }
-    TimePoint wakeAt = std::min(giveUpAt(job), job.nextSend);
+    TimePoint timerAt = std::min(giveUpAt(job), job.nextSend);
     if (job.isAccepted)
         for (const Waiter &waiter : job.waiters)
-            wakeAt = std::min(wakeAt, waiter.waitUntil);
-    if (wakeAt == job.wakeAt)
+            timerAt = std::min(timerAt, waiter.waitUntil);
+    if (timerAt == job.timerAt)
         return;
-    m_timers.erase({job.wakeAt, job.serial, &it->first});
-    job.wakeAt = wakeAt;
-    m_timers.insert({job.wakeAt, job.serial, &it->first});
+    m_timers.erase({job.timerAt, job.serial, &it->first});
+    job.timerAt = timerAt;
+    m_timers.insert({job.timerAt, job.serial, &it->first});
 }
 
 void JobRouter::drop(const JobKey &key)
 {
     const auto it = m_jobs.find(key);
-    m_timers.erase({it->second.wakeAt, it->second.serial, &it->first});
+    m_timers.erase({it->second.timerAt, it->second.serial, &it->first});
     m_jobs.erase(it);
 }
 
--- a/src/jobrouter.h
+++ b/src/jobrouter.h
@@ -1,5 +1,9 @@
-// Entry side of a job: remembers forwarded keys (rule R3), forwards to the home of the shard,
-// repeats until answered, and hands the answer to every caller that waits for the key.
+// The entry side of a job: forwards it to the home of its shard, repeats that until the job is
+// answered, and gives the answer to every caller that waits for the key.
+//
+// An entry remembers the key of every job before it forwards it, and reports it to later homes of
+// the shard, so that none of them takes the job as new (rule R3). It forwards nothing at an epoch
+// below the highest that it has heard of (rule R2).
 
 #pragma once
 
@@ -21,33 +25,39 @@
 
 namespace cactuscove {
 
+// Owned by the entry node, which passes it every event. Each call of submit(), query() or cancel()
+// leads to one AnswerCaller effect, unless callerDisconnected() comes first.
 class JobRouter
 {
 public:
+    // `ledger` must outlive this object.
     JobRouter(Incarnation self, const Ledger &ledger);
 
     // Commands
-    // `waitUntil`: the caller gets JobAccepted if the home has the job and there is no answer by
-    // then. `trace`: the span that the entry's own span becomes a child of.
+    // At `waitUntil` the caller gets JobAccepted if the home has accepted the job and there is no
+    // answer yet. `trace` is the parent of the entry's own span; empty without a trace.
     void submit(CallerId caller, JobSpec spec, TraceContext trace, TimePoint waitUntil,
                 TimePoint now, Outbox &out);
     void query(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now, Outbox &out);
     void cancel(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now,
                 Outbox &out);
-    void callerDisconnected(CallerId caller); // the job itself goes on
+    void callerDisconnected(CallerId caller); // the caller has hung up; its job goes on
+    // Handles the replies of homes, Raise and AdoptWitness; ignores other messages.
     void onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out);
-    // At most once for each message that was sent.
+    // A message of this router was provably not delivered. At most one call for each message sent.
     void onUndelivered(Incarnation to, const Message &message, TimePoint now, Outbox &out);
     void onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out);
     void onTimer(TimePoint now, Outbox &out);
 
     // Queries
-    TimePoint nextTimer() const;
-    bool isIdle() const { return m_jobs.empty(); } // no caller waits, every job has a home
+    TimePoint nextTimer() const;                   // when onTimer() is due
+    bool isIdle() const { return m_jobs.empty(); } // no caller waits, every job was accepted
     std::size_t rememberedKeyCount() const { return m_memory.size(); }
-    std::size_t memoryBytes() const { return m_memory.bytes(); }
+    std::size_t memoryBytes() const { return m_memory.bytes(); } // of the remembered keys
+    // The remembered keys of a shard, for the heir of an entry that leaves.
     std::vector<AdoptedJob> memory(ShardId shard, TimePoint now) const;
-    Epoch fence(ShardId shard) const; // rule R2
+    // The highest epoch known from the ledger or from a Raise. Every forward carries it.
+    Epoch fence(ShardId shard) const;
 
 private:
     enum class Request { Submit, Query, Cancel };
@@ -59,80 +69,84 @@
         TimePoint waitUntil;
     };
 
-    // Forwards of one epoch that are not known to be undelivered.
+    // SubmitJob messages of one epoch.
     struct Forwards
     {
         Epoch epoch;
-        std::uint32_t unsettled = 0;
+        std::uint32_t maybeDelivered = 0; // sent, and not proved to be undelivered
     };
 
     // A key that a caller waits for, or whose job the home has not accepted yet.
-    struct Pending
+    struct PendingJob
     {
-        std::uint64_t serial = 0; // orders jobs in the same way in every run
-        KeyHash hash;
-        std::optional<JobSpec> spec; // absent if callers only query or cancel
+        std::uint64_t serial = 0;    // orders jobs in the same way in every run
+        KeyHash hash;                // of the key
+        std::optional<JobSpec> spec; // empty if callers only query or cancel
         bool wantsCancel = false;
-        bool isAccepted = false;  // by the home of `epoch`
-        bool wasAccepted = false; // by any home
-        Incarnation home;         // of the last forward; 0 before the first one
-        Epoch epoch;
-        std::uint32_t refusals = 0; // of NotHome and Moving in a row
-        // The key was not remembered before the first of these forwards.
-        bool ownsMemory = false;
-        std::vector<Forwards> forwards;
+        bool isAccepted = false;    // by the home of `epoch`
+        bool wasAccepted = false;   // by any home
+        Incarnation home;           // of the last forward; 0 before the first one
+        Epoch epoch;                // of the last forward
+        std::uint32_t refusals = 0; // NotHome and Moving in a row, at most MaxRefusalShift
+        // The key was not remembered before the first message counted in `forwards`, so that it can
+        // be forgotten if all of those prove to be undelivered.
+        bool ownsRememberedKey = false;
+        std::vector<Forwards> forwards; // by rising epoch
         TimePoint startedAt;
-        TimePoint deadline;
-        TimePoint patienceEnd;
+        TimePoint deadline;      // of the job; never without a spec
+        TimePoint homeTimeoutAt; // callers are answered then unless the home replies
         TimePoint nextSend;
-        TimePoint wakeAt = NeverTime;
-        TraceContext parent; // of the caller
-        TraceContext trace;  // of the entry's span
+        TimePoint timerAt = NeverTime; // its place in m_timers
+        TraceContext parent;           // of the caller
+        TraceContext trace;            // of the entry's span
         std::vector<Waiter> waiters;
     };
 
-    // The highest epoch heard of from a Raise, and its sender, which is the home of that epoch.
+    // The highest epoch of a shard named in a Raise, and the sender, which is the home of that
+    // epoch.
     struct RaisedFence
     {
         Epoch epoch;
         Incarnation home;
     };
 
-    using Jobs = std::unordered_map<JobKey, Pending>;
+    using Jobs = std::unordered_map<JobKey, PendingJob>;
 
-    Pending &pendingFor(const JobKey &key, TimePoint now);
-    void addSpec(Pending &job, JobSpec spec, TraceContext trace, TimePoint now);
-    void forward(const JobKey &key, Pending &job, TimePoint now, Outbox &out);
-    void remember(Pending &job, TimePoint now);
+    PendingJob &pendingFor(const JobKey &key, TimePoint now);
+    void addSpec(PendingJob &job, JobSpec spec, TraceContext trace, TimePoint now);
+    void forward(const JobKey &key, PendingJob &job, TimePoint now, Outbox &out);
+    void remember(PendingJob &job, TimePoint now);
     Incarnation homeOf(ShardId shard) const;
     bool isHeirOf(Incarnation subject) const;
-    static TimePoint giveUpAt(const Pending &job);
-    Pending *pendingAt(const JobKey &key, Incarnation home, Epoch epoch);
+    static TimePoint giveUpAt(const PendingJob &job);
+    PendingJob *pendingJobAt(const JobKey &key, Incarnation home, Epoch epoch);
     void onAccepted(Incarnation from, const JobAccepted &message, TimePoint now, Outbox &out);
     void onAnswer(Incarnation from, const JobAnswer &message, TimePoint now, Outbox &out);
     void onRefused(Incarnation from, const SubmitRefused &message, TimePoint now, Outbox &out);
     void onNotFound(Incarnation from, const JobNotFound &message, TimePoint now, Outbox &out);
     void onRaise(Incarnation from, const Raise &message, TimePoint now, Outbox &out);
     void onAdopt(Incarnation from, const AdoptWitness &message, TimePoint now, Outbox &out);
-    void answerSubject(Incarnation to, Incarnation subject, const Raise &message, TimePoint now,
-                       Outbox &out) const;
-    void acceptDueWaiters(const JobKey &key, Pending &job, TimePoint now, Outbox &out);
-    void answerAll(const JobKey &key, Pending &job, const Answer &answer, TimePoint now,
+    void sendWitness(Incarnation to, Incarnation subject, const Raise &message, TimePoint now,
+                     Outbox &out) const;
+    void acceptDueWaiters(const JobKey &key, PendingJob &job, TimePoint now, Outbox &out);
+    void answerAll(const JobKey &key, PendingJob &job, const Answer &answer, TimePoint now,
                    Outbox &out);
-    void emitSpan(const JobKey &key, const Pending &job, std::string_view outcome, TimePoint now,
+    void emitSpan(const JobKey &key, const PendingJob &job, std::string_view outcome, TimePoint now,
                   Outbox &out) const;
-    void redirect(std::span<const ShardId> shards, bool membersChanged, TimePoint now, Outbox &out);
-    void update(const JobKey &key);
+    void forwardToNewHomes(std::span<const ShardId> shards, bool membersChanged, TimePoint now,
+                           Outbox &out);
+    void dropOrArmTimer(const JobKey &key);
     void drop(const JobKey &key);
-    Duration lifetime() const;
+    Duration keyRetention() const;
 
     Incarnation m_self;
     const Ledger &m_ledger;
-    EntryMemory m_memory;
+    EntryMemory m_memory; // the keys that were forwarded or adopted
     std::array<RaisedFence, ShardCount> m_raised{};
     Jobs m_jobs;
     std::unordered_map<CallerId, JobKey> m_callers; // every waiter of every pending job
-    std::set<std::tuple<TimePoint, std::uint64_t, const JobKey *>> m_timers; // keys in m_jobs
+    // timerAt, serial and key of every pending job.
+    std::set<std::tuple<TimePoint, std::uint64_t, const JobKey *>> m_timers;
     std::uint64_t m_lastSerial = 0;
     TimePoint m_nextSweep{};
 };
--- a/src/jobrouterwitness.cpp
+++ b/src/jobrouterwitness.cpp
@@ -1,5 +1,5 @@
-// What the entry knows as a witness: the memory of forwarded keys (rule R3), its fence (rule R2),
-// and the memory of processes that it is the heir of.
+// The entry as a witness: the keys that it has forwarded, the highest epoch of each shard, and the
+// keys of entries that it is the heir of.
 
 #include "jobrouter.h"
 
@@ -13,13 +13,15 @@
 // Covers the run time of tasks that started just before their deadline, and delayed messages.
 constexpr Duration MemoryMargin = std::chrono::seconds(60);
 
-// One message stays in the order of 100 KB. A single shard is never split, because a home counts a
-// shard as answered by the first message that names it.
+// A Witness message ends after the shard with which it reaches this many keys, which keeps it at
+// about 100 KB. The keys of one shard are never split, because a home counts a shard as answered by
+// the first message that names it.
 constexpr std::size_t WitnessBatch = 2000;
 
 } // namespace
 
-Duration JobRouter::lifetime() const
+// From the deadline of a job to the expiry of its key.
+Duration JobRouter::keyRetention() const
 {
     return m_ledger.fleetConfig().idMemory + MemoryMargin;
 }
@@ -29,35 +31,36 @@
     return std::max(m_ledger.shard(shard).epoch, m_raised[shard.value].epoch);
 }
 
-// Rule R3: to be called before the forward at job.epoch is sent. The job may run until its
-// deadline, and its id is remembered for a lifetime after that.
-void JobRouter::remember(Pending &job, TimePoint now)
+// To be called before the job is forwarded at job.epoch (rule R3). The job may run until its
+// deadline, and its key is remembered for keyRetention() after that.
+void JobRouter::remember(PendingJob &job, TimePoint now)
 {
-    if (m_memory.remember(job.hash, job.epoch, job.deadline + lifetime(), now)) {
-        job.ownsMemory = true;
+    if (m_memory.remember(job.hash, job.epoch, job.deadline + keyRetention(), now)) {
+        job.ownsRememberedKey = true;
         job.forwards.clear();
     }
     if (job.forwards.empty() || job.forwards.back().epoch != job.epoch)
         job.forwards.push_back({job.epoch, 0});
-    ++job.forwards.back().unsettled;
+    ++job.forwards.back().maybeDelivered;
 }
 
-// A key that was stored for these very forwards is as unknown as before once all of them are known
-// to be undelivered. If only those of the lower epochs are, the lowest epoch rises.
+// If the key was remembered only for the forwards of this pending job, it is forgotten once all of
+// them are proved to be undelivered: no home has seen it. If only those of the lowest epochs are,
+// the lowest epoch of the key rises.
 void JobRouter::onUndelivered(Incarnation, const Message &message, TimePoint, Outbox &)
 {
     const auto *submit = std::get_if<SubmitJob>(&message);
     const auto it = submit ? m_jobs.find(submit->spec.key) : m_jobs.end();
-    if (it == m_jobs.end() || !it->second.ownsMemory)
+    if (it == m_jobs.end() || !it->second.ownsRememberedKey)
         return;
-    Pending &job = it->second;
+    PendingJob &job = it->second;
     for (Forwards &sent : job.forwards)
-        if (sent.epoch == submit->epoch && sent.unsettled > 0)
-            --sent.unsettled;
-    std::erase_if(job.forwards, [](const Forwards &sent) { return sent.unsettled == 0; });
+        if (sent.epoch == submit->epoch && sent.maybeDelivered > 0)
+            --sent.maybeDelivered;
+    std::erase_if(job.forwards, [](const Forwards &sent) { return sent.maybeDelivered == 0; });
     if (job.forwards.empty()) {
         m_memory.forget(job.hash);
-        job.ownsMemory = false;
+        job.ownsRememberedKey = false;
         return;
     }
     m_memory.setLowestEpoch(job.hash, job.forwards.front().epoch);
@@ -72,13 +75,14 @@
         if (claim.epoch > raised.epoch)
             raised = {claim.epoch, from};
     }
-    answerSubject(from, m_self, message, now, out);
+    sendWitness(from, m_self, message, now, out);
     for (const auto &[incarnation, state] : m_ledger.members())
         if (state.hasLeft && state.member.role == Role::Entry && isHeirOf(incarnation))
-            answerSubject(from, incarnation, message, now, out);
-    redirect(shards, false, now, out);
+            sendWitness(from, incarnation, message, now, out);
+    forwardToNewHomes(shards, false, now, out);
 }
 
+// Directly, or by a chain of heirs that have left themselves.
 bool JobRouter::isHeirOf(Incarnation subject) const
 {
     // Each step moves to another member, so more steps than members mean a cycle of heirs.
@@ -93,10 +97,12 @@
     return false;
 }
 
-// Adopted keys are stored among the own ones, so the reply for each subject lists all of them.
-// Sending them for one subject only would lose them if that message is lost and the others are not.
-void JobRouter::answerSubject(Incarnation to, Incarnation subject, const Raise &message,
-                              TimePoint now, Outbox &out) const
+// Sends the keys remembered at lower epochs in the name of one subject, this entry or one that it
+// is the heir of. Adopted keys are stored together with the entry's own, so the reply for each
+// subject lists all of them. If only one reply listed them and that one were lost, the home would
+// take the others for complete.
+void JobRouter::sendWitness(Incarnation to, Incarnation subject, const Raise &message,
+                            TimePoint now, Outbox &out) const
 {
     Witness witness{subject, {}, {}};
     for (const ShardClaim &claim : message.claims) {
@@ -114,12 +120,12 @@
 
 void JobRouter::onAdopt(Incarnation from, const AdoptWitness &message, TimePoint now, Outbox &out)
 {
-    // An adopted key may be one that a pending job has just stored, and must not be removed with
-    // it.
+    // An adopted key may be one that a pending job has stored. It must then stay even if the
+    // forwards of that job prove to be undelivered.
     for (auto &[key, job] : m_jobs)
-        job.ownsMemory = false;
+        job.ownsRememberedKey = false;
     for (const AdoptedJob &it : message.jobs)
-        m_memory.remember(it.job.key, it.epoch, now - it.age + lifetime(), now);
+        m_memory.remember(it.job.key, it.epoch, now - it.age + keyRetention(), now);
     out.send(from, AdoptAck{message.subject, message.part});
 }
 
@@ -127,8 +133,8 @@
 {
     std::vector<AdoptedJob> result;
     m_memory.visit(shard, now, [&](const KeyHash &key, Epoch epoch, TimePoint expiresAt) {
-        // Negative for a key whose job may still run.
-        result.push_back({{key, 0, 0, {}}, epoch, lifetime() - (expiresAt - now)});
+        // The age is negative for a key whose job may still run.
+        result.push_back({{key, 0, 0, {}}, epoch, keyRetention() - (expiresAt - now)});
     });
     return result;
 }
--- a/src/memoryhandover.cpp
+++ b/src/memoryhandover.cpp
@@ -1,5 +1,5 @@
-// Sends a window of parts, repeats them until acknowledged, and starts anew with another heir if
-// the present one goes silent.
+// Sends a few parts at a time and repeats them until they are acknowledged. Starts again with
+// another heir if the present one does not acknowledge in time or goes down.
 
 #include "memoryhandover.h"
 
@@ -14,8 +14,8 @@
 constexpr std::size_t MaxJobsPerPart = 2000; // about 150 KB as JSON
 constexpr std::size_t MaxPartsInFlight = 4;
 constexpr Duration RepeatInterval = 1s;
-constexpr Duration HeirPatience = 5s;
-// When all entries leave at once, nobody takes the memory; it is then lost.
+constexpr Duration HeirTimeout = 5s;
+// When all entries leave at once, no heir takes the keys; they are lost after this time.
 constexpr Duration HandOverLimit = 10s;
 
 } // namespace
@@ -29,7 +29,7 @@
 void MemoryHandover::start(TimePoint now, Outbox &out)
 {
     m_isStarted = true;
-    m_end = now + HandOverLimit;
+    m_giveUpAt = now + HandOverLimit;
     chooseHeir(now, out);
 }
 
@@ -40,27 +40,27 @@
     m_lastAck = now;
     std::vector<Incarnation> entries = m_ledger.upMembers(Role::Entry);
     std::erase(entries, m_self);
-    const auto isSilent = [&](Incarnation it) { return m_silent.contains(it); };
+    const auto isSilent = [&](Incarnation it) { return m_silentHeirs.contains(it); };
     if (std::ranges::all_of(entries, isSilent))
-        m_silent.clear();
+        m_silentHeirs.clear();
     std::erase_if(entries, isSilent);
     if (entries.empty())
         return giveUp();
-    // The member that started last is the least likely to be the next one to be replaced.
+    // The entry that started last is the least likely to be replaced next.
     const auto startedAt = [&](Incarnation it) { return m_ledger.member(it)->registeredAt; };
     m_heir = *std::ranges::max_element(entries, {}, startedAt);
-    fillWindow(now, out);
+    sendNextParts(now, out);
 }
 
 void MemoryHandover::giveUp()
 {
-    m_heir = {}; // nobody can answer for this memory
+    m_heir = {}; // nobody can report the keys of this entry
     m_parts.clear();
     m_nextShard = ShardCount;
     m_nextSend = NeverTime;
 }
 
-void MemoryHandover::fillWindow(TimePoint now, Outbox &out)
+void MemoryHandover::sendNextParts(TimePoint now, Outbox &out)
 {
     while (m_nextShard < ShardCount && m_parts.size() < MaxPartsInFlight) {
         const std::vector<AdoptedJob> jobs = m_router.memory(ShardId{m_nextShard++}, now);
@@ -81,18 +81,18 @@
     if (from != m_heir || ack.subject != m_self || m_parts.erase(ack.part) == 0)
         return;
     m_lastAck = now;
-    fillWindow(now, out);
+    sendNextParts(now, out);
 }
 
 void MemoryHandover::onTimer(TimePoint now, Outbox &out)
 {
     if (!m_isStarted || m_heir.value == 0)
         return;
-    if (!isComplete() && now >= m_end)
+    if (!isComplete() && now >= m_giveUpAt)
         return giveUp();
-    const bool isSilent = !m_parts.empty() && now >= m_lastAck + HeirPatience;
+    const bool isSilent = !m_parts.empty() && now >= m_lastAck + HeirTimeout;
     if (isSilent)
-        m_silent.insert(m_heir);
+        m_silentHeirs.insert(m_heir);
     if (isSilent || !m_ledger.isUp(m_heir)) {
         chooseHeir(now, out);
         return;
--- a/src/memoryhandover.h
+++ b/src/memoryhandover.h
@@ -1,5 +1,5 @@
-// Hands the memory of a leaving entry to another entry, its heir, in bounded parts. It is complete
-// once the heir has acknowledged every part.
+// Hands the remembered job keys of an entry that shuts down to another entry, its heir, which then
+// reports them to later homes in its place.
 
 #pragma once
 
@@ -13,24 +13,29 @@
 
 namespace cactuscove {
 
+// Owned by the entry node, which starts it during a shutdown and appends the leave record once it
+// is complete. The keys are sent in parts of bounded size, a few at a time, and each part is
+// repeated until the heir acknowledges it.
 class MemoryHandover
 {
 public:
+    // `ledger` and `router` must outlive this object.
     MemoryHandover(Incarnation self, const Ledger &ledger, const JobRouter &router);
 
     // Commands
-    void start(TimePoint now, Outbox &out);
+    void start(TimePoint now, Outbox &out); // once, when the entry takes no more jobs
     void onAck(Incarnation from, const AdoptAck &ack, TimePoint now, Outbox &out);
     void onTimer(TimePoint now, Outbox &out);
 
     // Queries
-    TimePoint nextTimer() const { return m_nextSend; }
+    TimePoint nextTimer() const { return m_nextSend; } // when onTimer() is due
+    // The heir has acknowledged every part, or no heir could be found in time.
     bool isComplete() const { return m_isStarted && m_nextShard == ShardCount && m_parts.empty(); }
-    Incarnation heir() const { return m_heir; } // 0 if no other entry is up
+    Incarnation heir() const { return m_heir; } // 0 if there is none
 
 private:
     void chooseHeir(TimePoint now, Outbox &out);
-    void fillWindow(TimePoint now, Outbox &out);
+    void sendNextParts(TimePoint now, Outbox &out);
     void giveUp();
 
     Incarnation m_self;
@@ -38,13 +43,13 @@
     const JobRouter &m_router;
     bool m_isStarted = false;
     Incarnation m_heir;
-    std::set<Incarnation> m_silent; // former heirs that did not answer
-    std::uint16_t m_nextShard = 0;
-    std::uint32_t m_nextPart = 0;                  // never reused, also for another heir
-    std::map<std::uint32_t, AdoptWitness> m_parts; // sent and not acknowledged
-    TimePoint m_nextSend = NeverTime;
-    TimePoint m_lastAck{};
-    TimePoint m_end = NeverTime;
+    std::set<Incarnation> m_silentHeirs; // earlier heirs that did not acknowledge in time
+    std::uint16_t m_nextShard = 0;       // first shard whose keys were not sent; ShardCount if none
+    std::uint32_t m_nextPart = 0;        // part numbers are never reused, not even for another heir
+    std::map<std::uint32_t, AdoptWitness> m_parts; // sent and not acknowledged, by number
+    TimePoint m_nextSend = NeverTime;              // of the parts that are not acknowledged
+    TimePoint m_lastAck{};                         // or when the heir was chosen
+    TimePoint m_giveUpAt = NeverTime;
 };
 
 } // namespace cactuscove
--- a/tests/entryfixture.h
+++ b/tests/entryfixture.h
@@ -1,4 +1,4 @@
-// A small log and helpers for the tests of the entry's decisions.
+// A log in memory and helpers for tests of JobRouter, Membership and EntryNode.
 
 #pragma once
 
@@ -17,10 +17,11 @@
 
 inline constexpr TimePoint Start{std::chrono::hours(1)};
 
-// Records in offset order, as the log service would hold them.
+// The records that the log service would hold, in offset order.
 class TestLog
 {
 public:
+    // Without an `id` the record gets one of its own.
     const LogRecord &append(RecordBody body, std::string id = {})
     {
         const LogOffset offset{m_records.size()};
@@ -30,6 +31,7 @@
         return m_records.back();
     }
     const std::vector<LogRecord> &records() const { return m_records; }
+    // The records at `offset` and later.
     std::span<const LogRecord> from(LogOffset offset) const
     {
         return std::span(m_records).subspan(std::min<std::size_t>(offset.value, m_records.size()));
@@ -44,6 +46,7 @@
     return {{incarnation}, role, "127.0.0.1:" + std::to_string(1000 + incarnation), "a", "r", "o"};
 }
 
+// A job of one task, under the key "team/" + id.
 inline JobSpec job(const std::string &id, const std::string &content = "x")
 {
     JobSpec spec;
@@ -57,11 +60,13 @@
     return spec;
 }
 
+// The completed answer to such a job.
 inline Answer completed(const std::string &body = "done")
 {
     return {Outcome::Completed, "", std::nullopt, {{"t0", 200, body}}};
 }
 
+// The effects of one kind.
 template <typename T>
 std::vector<T> allOf(const std::vector<Effect> &effects)
 {
@@ -72,7 +77,7 @@
     return result;
 }
 
-// The messages of one kind with their receivers.
+// The messages of one kind that are sent, with their receivers.
 template <typename T>
 std::vector<std::pair<Incarnation, T>> sentOf(const std::vector<Effect> &effects)
 {
@@ -83,6 +88,7 @@
     return result;
 }
 
+// The records of one kind that are appended.
 template <typename T>
 std::vector<T> appendsOf(const std::vector<Effect> &effects)
 {
--- a/tests/entrymemory_test.cpp
+++ b/tests/entrymemory_test.cpp
@@ -1,4 +1,4 @@
-// The compact memory of forwarded keys against a plain map, and its size.
+// The hash tables of forwarded job keys, compared with a plain map, and their size.
 
 #include "entrymemory.h"
 
@@ -14,7 +14,8 @@
 
 constexpr TimePoint Start{std::chrono::hours(1)};
 
-// A key that is lost or that comes back would make a started job look new, or a new one seen.
+// Guards against keys that are lost or that come back: a started job would then look new, or a new
+// one known.
 RC_GTEST_PROP(EntryMemory, BehavesLikeAMap, ())
 {
     struct Known
@@ -27,7 +28,7 @@
     TimePoint now = Start;
     const int steps = *rc::gen::inRange(0, 400);
     for (int i = 0; i < steps; ++i) {
-        // Few shards and few slots, so that keys collide and tables grow.
+        // Few shards and few first slots, so that keys collide and tables grow.
         const KeyHash key{std::uint64_t{*rc::gen::inRange<std::uint64_t>(0, 40)} << 58,
                           *rc::gen::inRange<std::uint64_t>(0, 3)};
         const Epoch epoch{*rc::gen::inRange<std::uint64_t>(1, 6)};
@@ -71,19 +72,20 @@
     }
 }
 
-// The target is 2.5 million keys within about 100 MB beside the rest of an entry in 256 MB.
+// Guards against a representation that takes too much memory. The target is 2.5 million keys in
+// about 100 MB, beside the rest of an entry in 256 MB.
 TEST(EntryMemory, CostsAtMost40BytesPerKeyAtAnyCount)
 {
-    constexpr std::size_t Target = 2'500'000;
+    constexpr std::size_t keyCount = 2'500'000;
     EntryMemory memory;
     double worst = 0;
-    for (std::size_t i = 0; i < Target; ++i) {
+    for (std::size_t i = 0; i < keyCount; ++i) {
         memory.remember(hashOf({"team/job-" + std::to_string(i)}), {1}, Start + 660s, Start);
         if (i >= 100'000 && i % 50'000 == 0)
             worst = std::max(worst, static_cast<double>(memory.bytes())
                                         / static_cast<double>(memory.size()));
     }
-    EXPECT_EQ(memory.size(), Target);
+    EXPECT_EQ(memory.size(), keyCount);
     EXPECT_LE(memory.bytes(), 100'000'000u);
     EXPECT_LE(worst, 40);
     RecordProperty("bytes", std::to_string(memory.bytes()));
--- a/tests/jobrouter_test.cpp
+++ b/tests/jobrouter_test.cpp
@@ -1,4 +1,5 @@
-// Rules R2 and R3 at the entry, and what callers are told while homes change.
+// The keys that an entry remembers and reports, the epochs at which it forwards, and what callers
+// are told while homes change.
 
 #include "entryfixture.h"
 
@@ -15,6 +16,7 @@
 const JobKey Key{"team/j"};
 const ShardId Shard = shardOf(Key);
 
+// One router, and a ledger in which the agent First is the home of Shard at epoch 1.
 class JobRouterTest : public testing::Test
 {
 protected:
@@ -55,7 +57,7 @@
         }
         return m_out.take();
     }
-    // Keys that the entry reports to the home of `epoch`.
+    // Number of keys that the entry reports to the home of `epoch`.
     std::size_t witnessed(std::uint64_t epoch, ShardId shard = Shard)
     {
         const auto sent = sentOf<Witness>(receive(Second, Raise{{{shard, {epoch}}}}));
@@ -78,9 +80,8 @@
     JobRouter m_router{Self, m_ledger};
 };
 
-// R3: a key that is missing from the witness reply could be started again by the next home.
-// A not_run answer holds until its retry time. Guards against passing one on that was under way for
-// longer: a repeat of this entry may have started the job meanwhile.
+// Guards against passing on a not_run answer that was under way for longer than its retry time. The
+// key is new after that time, so a later forward of this entry may have started the job.
 TEST_F(JobRouterTest, ANotRunAnswerThatIsOlderThanItsRetryTimeIsAskedForAgain)
 {
     submit(1);
@@ -100,6 +101,8 @@
         1u);
 }
 
+// Guards against a key that is missing from the witness reply: the next home could start its job
+// again (rule R3).
 TEST_F(JobRouterTest, WitnessListsKeysOfLowerEpochsOnly)
 {
     submit(1);
@@ -108,8 +111,8 @@
     EXPECT_EQ(witnessed(2), 1u) << "a repeated question gets the same answer";
 }
 
-// R3: the lowest epoch counts. With the highest one, the home of epoch 2 would take the key for
-// one that only reached itself.
+// Guards against remembering the highest epoch instead of the lowest: the home of epoch 2 would
+// then not be told of a key that was forwarded at epoch 1 as well (rule R3).
 TEST_F(JobRouterTest, ResubmissionAtAHigherEpochKeepsTheLowestOne)
 {
     submit(1);
@@ -118,6 +121,7 @@
     EXPECT_EQ(witnessed(2), 1u);
 }
 
+// Guards against keys that expire too early or stay for ever.
 TEST_F(JobRouterTest, KeyExpiresAfterIdMemoryAndMargin)
 {
     submit(1);
@@ -129,8 +133,9 @@
     EXPECT_EQ(m_router.rememberedKeyCount(), 0u);
 }
 
-// A refused connection proves that the home never saw the key; keeping it would make the job
-// unknown after the takeover that usually follows.
+// Guards against answering a job as unknown for no reason. A refused connection proves that the
+// home never saw the key. If the entry kept it, the takeover that usually follows would make the
+// job unknown.
 TEST_F(JobRouterTest, UndeliveredFirstForwardIsForgotten)
 {
     const auto sent = sentOf<SubmitJob>(submit(1));
@@ -138,6 +143,8 @@
     EXPECT_EQ(witnessed(2), 0u);
 }
 
+// Guards against forgetting a key because one of its forwards was undelivered, although another may
+// have arrived.
 TEST_F(JobRouterTest, ForwardThatMayHaveArrivedKeepsTheKey)
 {
     submit(1);
@@ -147,7 +154,8 @@
     EXPECT_EQ(witnessed(2), 1u);
 }
 
-// A key that another forward, or another process, has stored is not this forward's to remove.
+// Guards against an undelivered forward that removes a key which an adopted memory has stored
+// before or after it.
 TEST_F(JobRouterTest, UndeliveredForwardDoesNotRemoveAKeyFromElsewhere)
 {
     receive(Incarnation{8}, AdoptWitness{{8}, {{{hashOf(Key), 0, 0, {}}, {1}, 0s}}, 0});
@@ -162,8 +170,8 @@
     EXPECT_EQ(witnessed(2, shardOf(other)), 1u);
 }
 
-// The forward to the dead home is proved undelivered only after the takeover: the new home must
-// see the key as one that reached nobody before.
+// Guards against a key that stays at the epoch of a dead home when the forward to that home is
+// proved undelivered only after the takeover. No home before the new one has seen the key.
 TEST_F(JobRouterTest, TakeoverInTheMiddleOfAForward)
 {
     const auto first = sentOf<SubmitJob>(submit(1));
@@ -177,7 +185,8 @@
     EXPECT_EQ(witnessed(3), 1u);
 }
 
-// R2: a forward at an epoch that a new home has asked about would escape its witness round.
+// Guards against a forward at an epoch below one that a new home has announced: its job would be
+// missing from the witness round of that home (rule R2).
 TEST_F(JobRouterTest, RaiseFencesTheOldHome)
 {
     receive(Second, Raise{{{Shard, {2}}}});
@@ -188,7 +197,7 @@
     EXPECT_EQ(sent[0].second.epoch, Epoch{2});
 }
 
-// An earlier home may say not_run of a job that its successor runs.
+// Guards against a not_run answer of an earlier home for a job that its successor runs.
 TEST_F(JobRouterTest, LateAnswersOfAnotherEpochCountOnlyIfCompleted)
 {
     submit(1);
@@ -202,6 +211,7 @@
               std::vector{Outcome::Completed});
 }
 
+// Guards against callers of the same key that get no answer, or that cause forwards of their own.
 TEST_F(JobRouterTest, EveryWaitingCallerGetsTheWholeAnswer)
 {
     submit(1);
@@ -218,7 +228,7 @@
     EXPECT_TRUE(m_router.isIdle());
 }
 
-// The home is told of a job although its caller has gone; only then may the entry drop it.
+// Guards against dropping a job whose caller has hung up before its home has accepted it.
 TEST_F(JobRouterTest, JobOfACallerThatHangsUpGoesOn)
 {
     submit(1);
@@ -229,6 +239,7 @@
     EXPECT_EQ(m_router.rememberedKeyCount(), 1u);
 }
 
+// Guards against answering a job with the result of another one under the same id.
 TEST_F(JobRouterTest, OtherContentUnderTheSameIdIsRefused)
 {
     submit(1);
@@ -241,19 +252,21 @@
     EXPECT_EQ(byHome[0].caller, CallerId{1});
 }
 
+// Guards against a long wait after a refusal, and against answering home_unreachable during a
+// transfer.
 TEST_F(JobRouterTest, RefusalsAreRepeatedSoonAndThenEachSecond)
 {
     submit(1);
     receive(First, SubmitRefused{Key, SubmitRefusal::NotHome, {1}});
     EXPECT_EQ(sentOf<SubmitJob>(advance(60ms)).size(), 1u);
-    // A transfer may last longer than the patience, as long as the home says so.
+    // A transfer may last longer than the 5 s after which a silent home is given up.
     for (int i = 0; i < 20; ++i) {
         receive(First, SubmitRefused{Key, SubmitRefusal::Moving, {1}});
         EXPECT_EQ(sentOf<SubmitJob>(advance(1s)).size(), 1u);
     }
 }
 
-// The caller must not wait until its deadline for a home that is silent.
+// Guards against a caller that waits until its deadline for a silent home.
 TEST_F(JobRouterTest, SilentHomeIsReportedAfterThePatience)
 {
     submit(1);
@@ -267,6 +280,7 @@
     EXPECT_LE(*answer.retryAfter, 5s);
 }
 
+// Guards against a caller that is answered only after its deadline.
 TEST_F(JobRouterTest, ShortDeadlineEndsBeforeThePatience)
 {
     JobSpec spec = job("j");
@@ -276,6 +290,7 @@
     EXPECT_EQ(outcomesOf(advance(1ms)), std::vector{Outcome::Unknown});
 }
 
+// Guards against giving up a new home because of the silence of the old one.
 TEST_F(JobRouterTest, TakeoverRestartsThePatience)
 {
     submit(1);
@@ -285,7 +300,7 @@
     EXPECT_EQ(outcomesOf(advance(100ms)), std::vector{Outcome::Unknown});
 }
 
-// 202 promises that the home has the job, so it waits for the home's word.
+// Guards against a 202 before the home has accepted the job, which is what the 202 states.
 TEST_F(JobRouterTest, AcceptedIsToldOnlyOnTheWordOfTheHome)
 {
     submit(1, job("j"), 0s);
@@ -295,7 +310,8 @@
     EXPECT_TRUE(std::holds_alternative<JobAccepted>(replies[0].reply));
 }
 
-// An accepted job costs one small message each second, and a silent home is noticed all the same.
+// Guards against sending a whole job again and again after it was accepted, and against waiting for
+// ever when its home falls silent.
 TEST_F(JobRouterTest, AcceptedJobIsWatchedByQueries)
 {
     submit(1);
@@ -306,6 +322,8 @@
     EXPECT_EQ(outcomesOf(advance(1s)), std::vector{Outcome::Unknown});
 }
 
+// Guards against queries and cancellations that change the home's reply, or that make the entry
+// remember a key although neither can start a job.
 TEST_F(JobRouterTest, QueryAndCancelPassTheHomesWordOn)
 {
     m_router.query({1}, Key, m_now, m_now, m_out);
@@ -319,7 +337,8 @@
     EXPECT_EQ(m_router.rememberedKeyCount(), 0u) << "neither can start a job";
 }
 
-// Without the heir's answer for the process that left, its keys would look new.
+// Guards against keys that look new because the entry that knew them has left: its heir must report
+// them in its name.
 TEST_F(JobRouterTest, HeirAnswersForTheProcessThatLeft)
 {
     append(RegisterRecord{member(8, Role::Entry)});
@@ -339,9 +358,9 @@
     EXPECT_EQ(witnessed(3), 0u) << "adopted keys keep their age";
 }
 
-// Two entries, homes that take over from each other without warning, messages that are lost,
-// doubled and delayed. A home starts every key that no entry has reported to it, also after it was
-// replaced, because the executors behind it may be cut off from the new home.
+// Two entries, homes that take over from each other at any time, and messages that are lost,
+// duplicated and delayed. A home starts every job whose key no entry has reported to it, even after
+// it was replaced, because its executors may be cut off from the new home.
 class TwoEntries
 {
 public:
@@ -355,7 +374,7 @@
     void step()
     {
         switch (*rc::gen::inRange(0, 9)) {
-        case 0: { // the same job anywhere, also after its caller has hung up elsewhere
+        case 0: { // the same job at any entry, also after a caller of it has hung up at the other
             Entry &entry = anyEntry();
             entry.router.submit({++m_lastCaller}, job(anyId()), {}, m_now + 30s, m_now, m_out);
             collect(entry);
@@ -382,7 +401,7 @@
             break;
         case 5:
             if (!m_wire.empty())
-                m_wire.push_back(m_wire[anyIndex(m_wire.size())]); // doubled
+                m_wire.push_back(m_wire[anyIndex(m_wire.size())]); // duplicated
             break;
         default:
             if (!m_wire.empty())
@@ -398,9 +417,10 @@
         LogOffset seen;
         JobRouter router{self, ledger};
     };
+    // A SubmitJob on its way.
     struct Wire
     {
-        Entry *from = nullptr; // of a SubmitJob
+        Entry *from = nullptr;
         Incarnation home;
         SubmitJob submit;
     };
@@ -422,7 +442,7 @@
     {
         m_log.append(std::move(body));
         for (auto &entry : m_entries)
-            if (*rc::gen::inRange(0, 3) > 0) // the others lag behind
+            if (*rc::gen::inRange(0, 3) > 0) // otherwise it stays behind
                 catchUp(entry);
     }
     void catchUp(Entry &entry)
@@ -501,6 +521,7 @@
     std::uint64_t m_lastEpoch = 0;
 };
 
+// Guards against any order of takeovers and messages in which a job is started twice.
 RC_GTEST_PROP(JobRouterModel, NoScheduleStartsAJobTwice, ())
 {
     TwoEntries world;
