--- a/tests/fleethistory.cpp
+++ b/tests/fleethistory.cpp
@@ -1,4 +1,5 @@
-// Checks a history against the invariants of section 1 of the design page.
+// Checks a history against the invariants: starts at most once unless idempotent, whole answers,
+// true not_run answers, and revisions that never go back.
 
 #include "fleethistory.h"
 
@@ -21,36 +22,36 @@
     return std::to_string(time.time_since_epoch().count()) + " us";
 }
 
-void checkStarts(const JobKey &key, const JobHistory &job, std::vector<std::string> &broken)
+void checkStarts(const JobKey &key, const JobHistory &job, std::vector<std::string> &violations)
 {
     for (const auto &[index, times] : job.starts) {
         if (times.size() > 1 && !job.submitted.empty() && !job.submitted.front().idempotent)
-            broken.push_back(key.value + ": task " + std::to_string(index) + " started "
-                             + std::to_string(times.size()) + " times");
+            violations.push_back(key.value + ": task " + std::to_string(index) + " started "
+                                 + std::to_string(times.size()) + " times");
     }
 }
 
 void checkCompleted(const JobHistory &job, const AnsweredEvent &event,
-                    std::vector<std::string> &broken)
+                    std::vector<std::string> &violations)
 {
     const std::string &key = event.key.value;
     const std::vector<TaskAnswer> &tasks = event.answer.tasks;
     if (job.submitted.empty() || tasks.size() != job.submitted.front().taskCount) {
-        broken.push_back(key + ": completed with " + std::to_string(tasks.size()) + " results");
+        violations.push_back(key + ": completed with " + std::to_string(tasks.size()) + " results");
         return;
     }
     for (std::size_t n = 0; n < tasks.size(); ++n) {
         if (tasks[n].body != bodyOf(event.key, n))
-            broken.push_back(key + ": another task's result: " + tasks[n].body);
+            violations.push_back(key + ": another task's result: " + tasks[n].body);
         const auto starts = job.starts.find(static_cast<std::uint16_t>(n));
         if (starts == job.starts.end() || starts->second.front() > event.at)
-            broken.push_back(key + ": completed without a start of task " + std::to_string(n));
+            violations.push_back(key + ": completed without a start of task " + std::to_string(n));
     }
 }
 
-// A caller that was told not_run may submit the id again after the retry time that it was given. A
-// start must belong to such a request, and that request must not have been answered not_run itself.
-void checkNotRun(const JobKey &key, const JobHistory &job, std::vector<std::string> &broken)
+// After an answer of not_run a task may start only for a later request: one that was submitted
+// after the retry time of the answer and was not itself answered not_run.
+void checkNotRun(const JobKey &key, const JobHistory &job, std::vector<std::string> &violations)
 {
     std::set<std::uint64_t> refused; // callers that were told not_run
     TimePoint retryTime = TimePoint::max();
@@ -71,25 +72,26 @@
                 return it.at >= retryTime && it.at <= start && !refused.contains(it.caller);
             };
             if (std::ranges::none_of(job.submitted, allows))
-                broken.push_back(key.value + ": not_run (" + reasons + " ), but task "
-                                 + std::to_string(index) + " started at " + timeOf(start));
+                violations.push_back(key.value + ": not_run (" + reasons + " ), but task "
+                                     + std::to_string(index) + " started at " + timeOf(start));
         }
     }
 }
 
-void checkAnswers(const JobHistory &job, std::vector<std::string> &broken)
+void checkAnswers(const JobHistory &job, std::vector<std::string> &violations)
 {
     std::map<std::uint64_t, std::size_t> answersOf;
     for (const AnsweredEvent &event : job.answered) {
         const auto isAsked = [&](const SubmittedEvent &it) { return it.caller == event.caller; };
         if (std::ranges::none_of(job.submitted, isAsked))
-            broken.push_back(event.key.value + ": answered to a caller that did not ask for it");
+            violations.push_back(event.key.value
+                                 + ": answered to a caller that did not ask for it");
         if (++answersOf[event.caller] > 1)
-            broken.push_back(event.key.value + ": two answers to one request");
+            violations.push_back(event.key.value + ": two answers to one request");
         if (event.answer.outcome == Outcome::Completed)
-            checkCompleted(job, event, broken);
+            checkCompleted(job, event, violations);
         else if (!event.answer.tasks.empty())
-            broken.push_back(event.key.value + ": partial answer");
+            violations.push_back(event.key.value + ": partial answer");
     }
 }
 
@@ -100,7 +102,7 @@
     return key.value + "#" + std::to_string(index);
 }
 
-std::vector<std::string> brokenPromises(const FleetHistory &history)
+std::vector<std::string> findViolations(const FleetHistory &history)
 {
     std::map<JobKey, JobHistory> jobs;
     for (const SubmittedEvent &it : history.submitted)
@@ -109,20 +111,20 @@
         jobs[it.key].starts[it.index].push_back(it.at);
     for (const AnsweredEvent &it : history.answered)
         jobs[it.key].answered.push_back(it);
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     for (const auto &[key, job] : jobs) {
-        checkStarts(key, job, broken);
-        checkAnswers(job, broken);
-        checkNotRun(key, job, broken);
+        checkStarts(key, job, violations);
+        checkAnswers(job, violations);
+        checkNotRun(key, job, violations);
     }
     std::map<Incarnation, Revision> newest;
     for (const RevisionEvent &it : history.revisions) {
         if (it.revision < newest[it.process])
-            broken.push_back("process " + std::to_string(it.process.value)
-                             + " went back to revision " + std::to_string(it.revision.value));
+            violations.push_back("process " + std::to_string(it.process.value)
+                                 + " went back to revision " + std::to_string(it.revision.value));
         newest[it.process] = it.revision;
     }
-    return broken;
+    return violations;
 }
 
 } // namespace cactuscove
--- a/tests/fleethistory.h
+++ b/tests/fleethistory.h
@@ -1,4 +1,5 @@
-// What happened at the edges of a virtual fleet, and the promises that it must keep.
+// What callers, upstreams and processes of a simulated fleet have observed, and the check of the
+// invariants that must hold for it.
 
 #pragma once
 
@@ -28,6 +29,7 @@
     std::uint16_t index = 0;
 };
 
+// A caller got its answer.
 struct AnsweredEvent
 {
     TimePoint at;
@@ -36,6 +38,7 @@
     Answer answer;
 };
 
+// A process began to use another revision of the configuration.
 struct RevisionEvent
 {
     TimePoint at;
@@ -43,6 +46,7 @@
     Revision revision;
 };
 
+// The events of one run, each list in the order of time.
 struct FleetHistory
 {
     std::vector<SubmittedEvent> submitted;
@@ -51,10 +55,10 @@
     std::vector<RevisionEvent> revisions;
 };
 
-// The body that an upstream returns for a task, so that mixed-up answers show.
+// The body that an upstream returns for a task. It names the task, so that mixed-up answers show.
 std::string bodyOf(const JobKey &key, std::size_t index);
 
-// One line for each broken promise; empty if all were kept.
-std::vector<std::string> brokenPromises(const FleetHistory &history);
+// One line of text for each violation of an invariant; empty if there is none.
+std::vector<std::string> findViolations(const FleetHistory &history);
 
 } // namespace cactuscove
--- a/tests/fleethistory_test.cpp
+++ b/tests/fleethistory_test.cpp
@@ -1,4 +1,6 @@
-// The history checker itself: each history here breaks one promise and must be rejected.
+// Tests of the invariant check itself. Each Rejects test guards against a check that misses the
+// violation in its name, each Accepts test against one that reports a violation where there is
+// none.
 
 #include "fleethistory.h"
 
@@ -25,6 +27,7 @@
     return {at(seconds), 1, Key, {Outcome::NotRun, "queue_full", 2s, {}}};
 }
 
+// A job of two tasks that caller 1 submits at 0 s and that completes at 2 s.
 FleetHistory completedJob()
 {
     FleetHistory history;
@@ -42,60 +45,60 @@
 
 TEST(FleetHistory, AcceptsACompletedJob)
 {
-    EXPECT_THAT(brokenPromises(completedJob()), IsEmpty());
+    EXPECT_THAT(findViolations(completedJob()), IsEmpty());
 }
 
 TEST(FleetHistory, RejectsASecondStart)
 {
     FleetHistory history = completedJob();
     history.started.push_back({at(3), Key, 1});
-    EXPECT_THAT(brokenPromises(history), ElementsAre(HasSubstr("started 2 times")));
+    EXPECT_THAT(findViolations(history), ElementsAre(HasSubstr("started 2 times")));
     history.submitted[0].idempotent = true;
-    EXPECT_THAT(brokenPromises(history), IsEmpty());
+    EXPECT_THAT(findViolations(history), IsEmpty());
 }
 
 TEST(FleetHistory, RejectsAPartialAnswer)
 {
     FleetHistory history = completedJob();
     history.answered[0].answer.tasks.pop_back();
-    EXPECT_THAT(brokenPromises(history), ElementsAre(HasSubstr("completed with 1 results")));
+    EXPECT_THAT(findViolations(history), ElementsAre(HasSubstr("completed with 1 results")));
     history.answered[0].answer.outcome = Outcome::Unknown;
-    EXPECT_THAT(brokenPromises(history), ElementsAre(HasSubstr("partial answer")));
+    EXPECT_THAT(findViolations(history), ElementsAre(HasSubstr("partial answer")));
 }
 
 TEST(FleetHistory, RejectsTheResultOfAnotherTask)
 {
     FleetHistory history = completedJob();
     std::swap(history.answered[0].answer.tasks[0].body, history.answered[0].answer.tasks[1].body);
-    EXPECT_EQ(brokenPromises(history).size(), 2U);
+    EXPECT_EQ(findViolations(history).size(), 2U);
 }
 
 TEST(FleetHistory, RejectsAnAnswerToAnotherCaller)
 {
     FleetHistory history = completedJob();
     history.answered[0].caller = 2;
-    EXPECT_THAT(brokenPromises(history), ElementsAre(HasSubstr("did not ask")));
+    EXPECT_THAT(findViolations(history), ElementsAre(HasSubstr("did not ask")));
 }
 
 TEST(FleetHistory, RejectsTwoAnswersToOneRequest)
 {
     FleetHistory history = completedJob();
     history.answered.push_back(history.answered[0]);
-    EXPECT_THAT(brokenPromises(history), ElementsAre(HasSubstr("two answers")));
+    EXPECT_THAT(findViolations(history), ElementsAre(HasSubstr("two answers")));
 }
 
 TEST(FleetHistory, RejectsCompletionWithoutAStart)
 {
     FleetHistory history = completedJob();
     history.started.pop_back();
-    EXPECT_THAT(brokenPromises(history), ElementsAre(HasSubstr("without a start")));
+    EXPECT_THAT(findViolations(history), ElementsAre(HasSubstr("without a start")));
 }
 
 TEST(FleetHistory, RejectsNotRunAfterAStart)
 {
     FleetHistory history = completedJob();
     history.answered[0] = notRunAt(2);
-    EXPECT_EQ(brokenPromises(history).size(), 2U);
+    EXPECT_EQ(findViolations(history).size(), 2U);
 }
 
 TEST(FleetHistory, RejectsAStartAfterNotRun)
@@ -104,7 +107,7 @@
     history.answered.insert(history.answered.begin(), notRunAt(0));
     history.answered[1].caller = 3;
     history.submitted.push_back({at(1), 3, Key, 2, false}); // before the retry time
-    EXPECT_EQ(brokenPromises(history).size(), 2U);
+    EXPECT_EQ(findViolations(history).size(), 2U);
 }
 
 TEST(FleetHistory, AcceptsAStartOfAResubmissionAfterTheRetryTime)
@@ -115,10 +118,11 @@
     history.answered[1].at = at(5);
     history.submitted.push_back({at(2), 3, Key, 2, false});
     history.started = {{at(3), Key, 0}, {at(3), Key, 1}};
-    EXPECT_THAT(brokenPromises(history), IsEmpty());
+    EXPECT_THAT(findViolations(history), IsEmpty());
 }
 
-// The request that came back in time was refused as well, so nothing may have run.
+// The second request was submitted after the retry time but was answered not_run as well, so no
+// task may have started.
 TEST(FleetHistory, RejectsAStartOfAResubmissionThatWasRefused)
 {
     FleetHistory history = completedJob();
@@ -126,7 +130,7 @@
     history.answered[1].caller = 3;
     history.submitted.push_back({at(2), 3, Key, 2, false});
     history.started = {{at(4), Key, 0}};
-    EXPECT_THAT(brokenPromises(history), ElementsAre(HasSubstr("not_run")));
+    EXPECT_THAT(findViolations(history), ElementsAre(HasSubstr("not_run")));
 }
 
 TEST(FleetHistory, RejectsARevisionThatGoesBack)
@@ -134,7 +138,7 @@
     FleetHistory history;
     history.revisions
         = {{at(0), Incarnation{1}, Revision{2}}, {at(1), Incarnation{1}, Revision{1}}};
-    EXPECT_THAT(brokenPromises(history), ElementsAre(HasSubstr("went back")));
+    EXPECT_THAT(findViolations(history), ElementsAre(HasSubstr("went back")));
 }
 
 } // namespace
--- a/tests/virtualfleet.cpp
+++ b/tests/virtualfleet.cpp
@@ -1,4 +1,4 @@
-// Event loop, network, log, upstreams and callers of the virtual fleet.
+// Event loop, network, log, upstreams and callers of the simulated fleet.
 
 #include "virtualfleet.h"
 
@@ -16,6 +16,7 @@
 constexpr Duration CallerDeadline = 20s;
 constexpr int MaxResubmissions = 3;
 
+// The job of this number: 1 to 4 tasks; every fifth job is idempotent.
 JobSpec jobOf(std::uint32_t number)
 {
     JobSpec spec;
@@ -75,7 +76,7 @@
         resubmit(job, 1s);
         return 0;
     }
-    ask(caller, job, entries[entry % entries.size()]);
+    sendRequest(caller, job, entries[entry % entries.size()]);
     return caller;
 }
 
@@ -94,11 +95,11 @@
     m_events.emplace(std::pair{std::max(time, m_now), ++m_lastEvent}, std::move(action));
 }
 
-VirtualFleet::Process &VirtualFleet::spawn(Role role, std::size_t place)
+VirtualFleet::Process &VirtualFleet::spawn(Role role, std::size_t position)
 {
     const Incarnation self{++m_lastIncarnation};
     Process &process = m_processes[self];
-    process.place = place;
+    process.position = position;
     process.member = {self, role, "10.0.0." + std::to_string(self.value) + ":1", "dc1", "r1", "o1"};
     const NodeSettings settings{process.member, m_options.seed * 1000 + self.value};
     if (role == Role::Agent)
@@ -117,12 +118,12 @@
     process.isAlive = false;
     process.refusesConnections = refusesConnections;
     const Role role = process.member.role;
-    const std::size_t place = process.place;
-    after(replacedAfter, [this, role, place] { spawn(role, place); });
+    const std::size_t position = process.position;
+    after(replacedAfter, [this, role, position] { spawn(role, position); });
     for (auto &[id, caller] : m_callers) {
         if (caller.isAnswered || caller.entry != process.member.incarnation)
             continue;
-        caller.isAnswered = true; // its connection broke; the caller tries another entry
+        caller.isAnswered = true; // its connection has broken; it submits again elsewhere
         resubmit(caller.job, delay(100'000, 1'000'000));
     }
 }
@@ -150,7 +151,7 @@
         kill(process, true, delay(100'000, 1'000'000));
 }
 
-// Carries out the effects of one turn; the messages to one process share an envelope.
+// Carries out the effects of one event. All messages to the same process share an envelope.
 void VirtualFleet::perform(Process &process, Outbox &out)
 {
     const Incarnation self = process.member.incarnation;
@@ -164,8 +165,9 @@
         } else if (auto *answer = std::get_if<AnswerCaller>(&effect)) {
             onAnswer(*answer);
         } else if (auto *start = std::get_if<StartOnUpstream>(&effect)) {
-            after(delay(100, 400),
-                  [this, self, place = process.place, it = *start] { startTask(place, self, it); });
+            after(delay(100, 400), [this, self, position = process.position, it = *start] {
+                startTask(position, self, it);
+            });
         }
     }
     for (auto &[to, envelope] : envelopes) {
@@ -182,7 +184,7 @@
     const TimePoint next = process.agent ? process.agent->nextTimer() : process.entry->nextTimer();
     if (next == NeverTime || process.timer <= std::max(next, m_now + 1ms))
         return;
-    // A timer in the past would never let the virtual time go on.
+    // With a timer in the past the virtual time would never advance.
     process.timer = std::max(next, m_now + 1ms);
     at(process.timer, [this, self = process.member.incarnation, due = process.timer] {
         if (m_processes.at(self).timer != due)
@@ -203,7 +205,8 @@
             continue;
         const Duration wait
             = isDisturbed && chance(0.2) ? delay(1'000, 1'500'000) : delay(200, 900);
-        // Of a doubled message nobody can tell that no copy has arrived.
+        // A refused connection proves nothing if the envelope was duplicated: the other copy may
+        // arrive.
         const bool isProof = copies == 1;
         after(wait, [this, from, to, envelope, isProof] { deliver(from, to, envelope, isProof); });
     }
@@ -233,7 +236,7 @@
     }
 }
 
-// The shell's part: an unclear append is repeated under its id until the log has it.
+// Repeats an append of unclear result under the same id until the log has it, as the processes do.
 void VirtualFleet::append(Incarnation by, const Record &record)
 {
     if (!m_processes.at(by).isAlive)
@@ -241,7 +244,7 @@
     const bool isDown = m_logDownUntil > m_now;
     const bool isReplyLost = m_repliesLostUntil > m_now && chance(0.5);
     if (!isDown) {
-        // A lost reply may lead to a second record with the same id.
+        // A repeated append may leave a second record with the same id in the log.
         if (m_appendIds.insert(record.appendId).second || chance(0.2))
             m_log.push_back({LogOffset{m_log.size()}, record});
         for (const Incarnation entry : alive(Role::Entry))
@@ -272,7 +275,7 @@
         it.entry->onLogRecords(records, next, m_now, out);
         it.entry->onLogEndRead();
     });
-    // Reads for records are triggered by appends; this one is the periodic poll.
+    // Besides the reads that follow appends, each process polls the log at an interval.
     if (!process.hasPoll) {
         process.hasPoll = true;
         after(LogPoll, [this, reader] {
@@ -282,9 +285,9 @@
     }
 }
 
-void VirtualFleet::startTask(std::size_t place, Incarnation agent, const StartOnUpstream &start)
+void VirtualFleet::startTask(std::size_t position, Incarnation agent, const StartOnUpstream &start)
 {
-    Upstream &upstream = m_upstreams[place];
+    Upstream &upstream = m_upstreams[position];
     if (!upstream.isUp || upstream.incarnation != start.upstreamIncarnation
         || chance(m_options.upstreamRefusals)) {
         finishTask(agent, start.ref, start.attempt, {TaskStatus::NotStarted, 503, {}, {}});
@@ -296,8 +299,8 @@
     TaskResult result{TaskStatus::Completed, 200, start.payload, runTime};
     if (chance(m_options.upstreamFailures))
         result = {TaskStatus::Failed, 500, {}, runTime};
-    after(runTime, [this, place, agent, ref = start.ref, attempt = start.attempt, result] {
-        if (m_upstreams[place].running.erase({ref, attempt}) > 0)
+    after(runTime, [this, position, agent, ref = start.ref, attempt = start.attempt, result] {
+        if (m_upstreams[position].running.erase({ref, attempt}) > 0)
             finishTask(agent, ref, attempt, result);
     });
 }
@@ -312,29 +315,29 @@
     });
 }
 
-void VirtualFleet::announce(std::size_t place)
+void VirtualFleet::announce(std::size_t position)
 {
-    const Upstream &upstream = m_upstreams[place];
+    const Upstream &upstream = m_upstreams[position];
     if (upstream.isUp) {
         const UpstreamAnnouncement announcement{"desk",
                                                 upstream.incarnation,
-                                                "10.1.0." + std::to_string(place) + ":1",
+                                                "10.1.0." + std::to_string(position) + ":1",
                                                 m_options.slots,
                                                 64,
                                                 {0, 4096},
                                                 Lease};
         for (const Incarnation agent : alive(Role::Agent)) {
-            if (m_processes.at(agent).place != place)
+            if (m_processes.at(agent).position != position)
                 continue;
             handle(agent, [this, announcement](Process &it, Outbox &out) {
                 it.agent->onUpstreamAnnounced(announcement, m_now, out);
             });
         }
     }
-    after(AnnounceInterval, [this, place] { announce(place); });
+    after(AnnounceInterval, [this, position] { announce(position); });
 }
 
-void VirtualFleet::ask(std::uint64_t caller, std::uint32_t job, Incarnation entry)
+void VirtualFleet::sendRequest(std::uint64_t caller, std::uint32_t job, Incarnation entry)
 {
     const JobSpec spec = jobOf(job);
     m_callers[caller] = {job, entry, false};
@@ -349,10 +352,10 @@
 {
     const auto it = m_callers.find(effect.caller.value);
     if (it == m_callers.end())
-        return; // a cancellation
+        return; // the request was a cancellation
     Caller &caller = it->second;
     const auto *answer = std::get_if<Answer>(&effect.reply);
-    if (answer == nullptr) { // the shard is moving, or the entry shuts down
+    if (answer == nullptr) { // a refusal, or the job was accepted without an answer
         caller.isAnswered = true;
         return resubmit(caller.job, 500ms);
     }
@@ -364,7 +367,7 @@
         resubmit(caller.job, *answer->retryAfter);
 }
 
-// To any entry, as callers do with jobs that they believe lost.
+// Submits the job again at any entry, as callers do with a job that they believe lost.
 void VirtualFleet::resubmit(std::uint32_t job, Duration wait)
 {
     if (++m_resubmissions[job] <= MaxResubmissions)
@@ -448,12 +451,12 @@
         break;
     case StepKind::StaleClaim:
         if (agent.value != 0)
-            claimTooLate(agent);
+            appendStaleClaim(agent);
         break;
     }
 }
 
-// Both offices start from the same revision; the ledger must accept only one of the two.
+// Two offices apply a file with the same base revision; the ledger must accept only one.
 void VirtualFleet::configure(std::uint32_t target)
 {
     const Incarnation entry = pick(Role::Entry, target);
@@ -468,8 +471,9 @@
     }
 }
 
-// The record of an agent that lost the race for each shard's present epoch (rule R1).
-void VirtualFleet::claimTooLate(Incarnation agent)
+// Appends the claim of an agent that another one has outrun for the current epoch of every shard.
+// It must have no effect, because each epoch has one home (rule R1).
+void VirtualFleet::appendStaleClaim(Incarnation agent)
 {
     ClaimRecord claim{agent, {}, false};
     const Ledger &ledger = m_processes.at(agent).agent->ledger();
--- a/tests/virtualfleet_test.cpp
+++ b/tests/virtualfleet_test.cpp
@@ -1,4 +1,4 @@
-// Random schedules of faults against the whole set of decisions.
+// All decision code together in a simulated fleet: single faults, and random schedules of faults.
 
 #include "virtualfleet.h"
 
@@ -22,7 +22,7 @@
     return names[static_cast<int>(kind)];
 }
 
-// RapidCheck finds it by the namespace of Step.
+// Prints a step in RapidCheck's counterexamples; found by the namespace of Step.
 void showValue(const Step &step, std::ostream &os)
 {
     os << "{" << nameOf(step.kind) << ", " << step.at.count() << "us, " << step.target << ", "
@@ -39,7 +39,7 @@
 
 const auto IsCompleted = Field(&Answer::outcome, Outcome::Completed);
 
-// A fleet without faults must answer every job with its whole result, and quickly.
+// Guards against a fleet that loses or delays jobs although there is no fault.
 TEST(VirtualFleet, CompletesEveryJobWithoutFaults)
 {
     VirtualFleet fleet({});
@@ -47,12 +47,13 @@
     for (std::uint32_t job = 0; job < 40; ++job)
         fleet.submit(job, job);
     fleet.run({}, 20s);
-    EXPECT_THAT(brokenPromises(fleet.history()), IsEmpty());
+    EXPECT_THAT(findViolations(fleet.history()), IsEmpty());
     for (std::uint32_t job = 0; job < 40; ++job)
         EXPECT_THAT(fleet.answersOf(job), testing::AllOf(SizeIs(1), Each(IsCompleted))) << job;
 }
 
-// A replaced agent must cost no job: its tasks end, its shards and its memory move.
+// Guards against jobs lost by the replacement of an agent: its tasks must end first, and its shards
+// and its knowledge of jobs must move to other agents.
 TEST(VirtualFleet, AGracefulShutdownOfAnAgentLosesNoJob)
 {
     VirtualFleet fleet({.seed = 2});
@@ -61,12 +62,13 @@
     for (std::uint32_t job = 0; job < 60; ++job)
         steps.push_back({StepKind::Submit, job * 50ms, job, Duration(job)});
     fleet.run(steps, 30s);
-    EXPECT_THAT(brokenPromises(fleet.history()), IsEmpty());
+    EXPECT_THAT(findViolations(fleet.history()), IsEmpty());
     for (std::uint32_t job = 0; job < 60; ++job)
         EXPECT_THAT(fleet.answersOf(job), testing::AllOf(SizeIs(1), Each(IsCompleted))) << job;
 }
 
-// The shards of a dead home must be taken over: new jobs complete within seconds.
+// Guards against shards that stay without a home after theirs has died: new jobs must complete
+// within seconds.
 TEST(VirtualFleet, JobsCompleteAfterAHomeWasKilled)
 {
     VirtualFleet fleet({.seed = 3});
@@ -75,12 +77,12 @@
     for (std::uint32_t job = 0; job < 60; ++job)
         fleet.submit(job, job);
     fleet.run({}, 20s);
-    EXPECT_THAT(brokenPromises(fleet.history()), IsEmpty());
+    EXPECT_THAT(findViolations(fleet.history()), IsEmpty());
     for (std::uint32_t job = 0; job < 60; ++job)
         EXPECT_THAT(fleet.answersOf(job), Each(IsCompleted)) << job;
 }
 
-// A log outage must stop no home that is up.
+// Guards against homes that stop working during a log outage.
 TEST(VirtualFleet, JobsCompleteDuringALogOutage)
 {
     VirtualFleet fleet({.seed = 4});
@@ -89,13 +91,14 @@
     for (std::uint32_t job = 0; job < 60; ++job)
         fleet.submit(job, job);
     fleet.run({}, 20s);
-    EXPECT_THAT(brokenPromises(fleet.history()), IsEmpty());
+    EXPECT_THAT(findViolations(fleet.history()), IsEmpty());
     for (std::uint32_t job = 0; job < 60; ++job)
         EXPECT_THAT(fleet.answersOf(job), testing::AllOf(SizeIs(1), Each(IsCompleted))) << job;
 }
 
-// Rule R8: a home without news of the log for id_memory must take no new job, because the others
-// may retire it and forget what it accepts. It must not claim that the job was not run, either.
+// Guards against a home that takes new jobs although it has been cut off from the log for
+// id_memory: the others may retire it, and then nobody asks it about the jobs that it accepts (rule
+// R8). It must not answer not_run either, because another home may run the job.
 TEST(VirtualFleet, AHomeCutOffFromTheLogTakesNewJobsForIdMemoryOnly)
 {
     VirtualFleet fleet({.seed = 5});
@@ -116,11 +119,12 @@
     for (std::uint32_t job = 60; job < 90; ++job)
         fleet.submit(job, job);
     fleet.run({}, 20s);
-    EXPECT_THAT(brokenPromises(fleet.history()), IsEmpty());
+    EXPECT_THAT(findViolations(fleet.history()), IsEmpty());
     for (std::uint32_t job = 60; job < 90; ++job)
         EXPECT_THAT(fleet.answersOf(job), Each(IsCompleted)) << job;
 }
 
+// Any step but Submit and Copy, within 20 s, for 50 ms to 12 s.
 rc::Gen<Step> anyFault()
 {
     return rc::gen::build<Step>(
@@ -133,7 +137,7 @@
                                                  [](int ms) { return Duration(ms * 1ms); })));
 }
 
-// Jobs keep coming from two callers, each sent twice at about the same time.
+// 80 jobs in 20 s, each submitted by two callers at about the same time.
 std::vector<Step> steadyJobs()
 {
     std::vector<Step> steps;
@@ -145,7 +149,7 @@
     return steps;
 }
 
-// Target of SilenceLink for the agent and the entry at these positions.
+// The target of a SilenceLink step for the agent and the entry of these indices.
 std::uint32_t linkTarget(std::uint32_t agent, std::uint32_t entry)
 {
     for (std::uint32_t target = 0;; ++target) {
@@ -154,9 +158,10 @@
     }
 }
 
-// Rule R2: a home that one entry takes for dead goes on with an old ledger, and another entry that
-// does not read the log still sends it jobs. The fence must keep it from starting what the new home
-// starts as well.
+// Guards against a job that an old and a new home both start (rule R2). One entry cannot reach the
+// old home, which is declared down but goes on with an old ledger, and another entry that cannot
+// read the log still sends it jobs. The higher epoch that executors and entries have learned must
+// keep the old home from starting what the new home starts as well.
 TEST(VirtualFleet, AnOldHomeAndAnEntryWithoutTheLogStartNothingTwice)
 {
     for (std::uint32_t agent = 0; agent < 3; ++agent) {
@@ -170,7 +175,7 @@
                 steps.push_back({StepKind::Copy, 2s + job * 40ms, job, Duration(1)});
             }
             fleet.run(steps, 40s);
-            EXPECT_THAT(brokenPromises(fleet.history()), IsEmpty()) << agent << ' ' << entry;
+            EXPECT_THAT(findViolations(fleet.history()), IsEmpty()) << agent << ' ' << entry;
         }
     }
 }
@@ -184,8 +189,9 @@
                                           : std::strtoull(value, nullptr, 10);
 }
 
-// No schedule of faults may break a promise: at most one start, whole answers to their own callers,
-// true not_run answers, configuration revisions that never go back.
+// Guards against any combination of faults that breaks an invariant: a task of a job that is not
+// idempotent starts at most once, callers get whole answers to their own jobs, not_run is true, and
+// configuration revisions never go back. FLEET_SEED and FLEET_RUNS choose the schedules.
 TEST(VirtualFleet, KeepsItsPromisesUnderRandomFaults)
 {
     rc::detail::TestParams params;
@@ -211,9 +217,9 @@
             fleet.run({}, 4s);
             steps.insert(steps.end(), jobs.begin(), jobs.end());
             fleet.run(steps, 60s);
-            const std::vector<std::string> broken = brokenPromises(fleet.history());
-            RC_LOG() << testing::PrintToString(broken) << "\n";
-            RC_ASSERT(broken.empty());
+            const std::vector<std::string> violations = findViolations(fleet.history());
+            RC_LOG() << testing::PrintToString(violations) << "\n";
+            RC_ASSERT(violations.empty());
         },
         metadata, params);
     std::ostringstream text;
