--- a/src/bootclock.h
+++ b/src/bootclock.h
@@ -1,5 +1,6 @@
-// The time since boot, which goes on while the machine is suspended. A steady clock would hide that
-// a process was frozen, and with it that leases have run out.
+// Clock of the time since the machine booted, which also runs while the machine is suspended. A
+// clock that stops meanwhile would hide that the process was suspended and that leases have
+// expired.
 
 #pragma once
 
@@ -9,6 +10,8 @@
 
 namespace cactuscove {
 
+// Returns the current time in microseconds since boot (CLOCK_BOOTTIME). Not comparable with
+// EventLoop::now(), which does not count suspension.
 inline TimePoint bootNow()
 {
     timespec ts{};
