--- a/src/decisionloop.h
+++ b/src/decisionloop.h
@@ -1,5 +1,6 @@
-// Runs one decision object on the event loop: performs the effects of each input, and lets it
-// decide once for all inputs of a turn and at its next timer.
+// Connects a decision object to the event loop. A decision object, such as JobDispatcher or
+// TaskRunner, does no I/O and reads no clock: it turns inputs into effects, which a performer then
+// carries out.
 
 #pragma once
 
@@ -13,7 +14,10 @@
 
 namespace cactuscove {
 
-// `Effects` is a variant. `Performer` has perform() for each of its types and onSettled(TimePoint).
+// `Effects` is a std::variant of the effects. `Decisions` has processPending(TimePoint, Outbox &),
+// which acts on the inputs since the last call, and nextTimer(), the time by which processPending()
+// must be called again. `Performer` has perform() for each type in `Effects`, and
+// onPendingProcessed(TimePoint), which is called after each processPending().
 template <typename Decisions, typename Effects, typename Performer>
 class DecisionLoop
 {
@@ -28,21 +32,23 @@
         , m_timer(loop, [this] { processPending(); })
     {}
 
-    // `input` takes the decisions, the time and an outbox.
+    // Passes an input to the decision object: calls `input(decisions, now, outbox)`, with the time
+    // of bootNow(), and performs the effects that it added to the outbox. All inputs of one
+    // iteration of the event loop are followed by one processPending().
     template <typename Input>
     void step(Input input)
     {
         Outbox out;
         input(m_decisions, bootNow(), out);
         performAll(out);
-        if (!std::exchange(m_isSettleDue, true))
+        if (!std::exchange(m_isProcessingPosted, true))
             m_loop.post([this] { processPending(); });
     }
 
 private:
     void processPending()
     {
-        m_isSettleDue = false;
+        m_isProcessingPosted = false;
         Outbox out;
         const TimePoint now = bootNow();
         m_decisions.processPending(now, out);
@@ -52,7 +58,7 @@
             m_timer.stop();
         else
             m_timer.startIn(next - now);
-        m_performer.onSettled(now);
+        m_performer.onPendingProcessed(now);
     }
 
     void performAll(Outbox &out)
@@ -64,8 +70,8 @@
     EventLoop &m_loop;
     Decisions &m_decisions;
     Performer &m_performer;
-    Timer m_timer;
-    bool m_isSettleDue = false;
+    Timer m_timer;                     // runs until nextTimer()
+    bool m_isProcessingPosted = false; // processPending() is posted to the event loop
 };
 
 } // namespace cactuscove
--- a/src/dispatchagent.cpp
+++ b/src/dispatchagent.cpp
@@ -1,5 +1,6 @@
-// Shell of the best-effort agent: the worker's reports come in, calls to it go out, one connection
-// to each entry.
+// I/O of the dispatch-agent process. Receives the worker's heartbeats over HTTP, keeps connections
+// to the selected entries, passes their messages to TaskRunner and performs the effects it asks
+// for: HTTP calls to the worker and messages to entries.
 
 #include "dispatchagent.h"
 
@@ -18,22 +19,24 @@
 
 using namespace std::chrono_literals;
 
-// Loads change with each start and end; entries get the newest at most this often. While there is
-// much room, older figures do as well.
-constexpr Duration BusyLoadInterval = 5ms;
-constexpr Duration CalmLoadInterval = 25ms;
-// A dial that is older may be from before the start of its entry, and is then never answered.
-constexpr Duration FreshDial = 50ms;
-// A dialled connection that is not open by then is given up: its packets are lost or the path is
-// cut.
+// Shortest time between two reports of the workers' loads to the entries. Loads change with each
+// start and end of a task. While all workers have much room left, entries can place tasks by older
+// figures.
+constexpr Duration NearlyFullLoadInterval = 5ms;
+constexpr Duration SpareRoomLoadInterval = 25ms;
+// When an entry's start is announced, a connection attempt that is older than this is begun anew:
+// it may be from before the start and is then never answered.
+constexpr Duration MaxDialAgeAtEntryStart = 50ms;
+// A dialled connection that is not open, with the entry's hello received, after this long is
+// abandoned: its packets were lost or the network path is cut.
 constexpr Duration DialTimeout = 300ms;
-// An entry that was told that the worker is gone sends nothing more after this.
-constexpr Duration LeaveTime = 500ms;
-// For calls under way and a worker's slow clock, between the last end of a lost job's run and the
-// earliest repeat by its caller.
-constexpr Duration ResubmitMargin = 150ms;
-// Part of the shutdown time in which runs may end by themselves.
-constexpr double DrainShare = 0.8;
+// Time after which an entry that was told that the worker is gone sends no more tasks to it.
+constexpr Duration ReleaseDelay = 500ms;
+// Safety margin between the latest end of a lost job's tasks and the earliest time at which its
+// caller submits the job again. Covers calls that are under way and a worker's slow clock.
+constexpr Duration ResubmitSafetyMargin = 150ms;
+// Fraction of the shutdown time in which running tasks may end by themselves.
+constexpr double DrainTimeFraction = 0.8;
 
 class DispatchAgent : public DispatchProcess
 {
@@ -42,65 +45,73 @@
         : DispatchProcess(Role::Agent, std::move(loaded.settings), std::move(loaded.path))
         , m_runner(runnerSettings(), bootNow())
         , m_decisions(m_loop, m_runner, *this)
-        , m_beatTimer(m_loop, [this] { beat(); })
+        , m_heartbeatTimer(m_loop, [this] { onHeartbeatTick(); })
         , m_loadTimer(m_loop, [this] { sendLoads(); })
         , m_shutdownTimer(m_loop, [this] { m_loop.stop(); })
     {}
 
-    std::optional<DispatchError> start()
+    std::optional<StartupError> start()
     {
         auto server = HttpServer::listen(
             m_loop, m_settings.workerAddress, {},
-            [this](RequestId id, const HttpRequest &request) { onRequest(id, request); });
+            [this](RequestId id, const HttpRequest &request) { onWorkerRequest(id, request); });
         if (!isOk(server))
-            return DispatchError{errorOf(server).reason};
+            return StartupError{errorOf(server).reason};
         m_server = std::move(valueOf(server));
         if (auto error = serveMetrics())
             return error;
-        followEntries();
-        m_beatTimer.startIn(BeatInterval);
+        followEntryAddresses();
+        m_heartbeatTimer.startIn(LinkHeartbeatInterval);
         return std::nullopt;
     }
 
 private:
     friend class DecisionLoop<TaskRunner, RunnerEffect, DispatchAgent>;
 
-    // A connection that this agent dials, to an entry that may not be there.
-    struct Dial
+    // Connection that this agent opens to the entry at one address. It may be closed.
+    struct EntryConnection
     {
-        std::unique_ptr<FramedLink> link; // none while it is not dialled
+        std::unique_ptr<FramedLink> link; // none while closed
         TimePoint dialledAt{};
-        TimePoint heardAt{};
-        TimePoint leavingSince = NeverTime;         // the entry was told that the worker is gone
-        std::optional<PeerHello> entry;             // once it has introduced itself
-        std::vector<std::string> orphanFreeWorkers; // as sent
-        std::uint64_t loadVersion = 0;              // sent
+        TimePoint heardAt{};                  // newest message, or the dial
+        TimePoint releasingSince = NeverTime; // when the entry was told that the worker is gone
+        std::optional<PeerHello> entry;       // its hello; none until that arrives
+        std::vector<std::string> orphanFreeWorkers; // as sent last
+        std::uint64_t loadVersion = 0;              // TaskRunner::loadVersion() as sent last
     };
 
+    // Shortens the silence of an entry after which its tasks are stopped, and the lease, where
+    // needed: all tasks of a lost job must have ended before its caller submits it again. In the
+    // worst case the silence, the lease and the time to stop a task follow one another.
     TaskRunnerSettings runnerSettings() const
     {
         TaskRunnerSettings settings;
-        const Duration spare = m_settings.resubmitPause - m_settings.stopTime - ResubmitMargin;
+        const Duration spare
+            = m_settings.resubmitPause - m_settings.stopTime - ResubmitSafetyMargin;
         settings.entryTimeout = std::min<Duration>(settings.entryTimeout, spare / 2);
         settings.leaseTime = std::min(
             {settings.leaseTime, m_settings.leaseTime, Duration(spare - settings.entryTimeout)});
         return settings;
     }
 
-    void onSettled(TimePoint now)
+    void onPendingProcessed(TimePoint now)
     {
-        if (m_runner.loadVersion() != m_loadVersion && !std::exchange(m_isLoadDue, true))
+        if (m_runner.loadVersion() != m_loadVersion
+            && !std::exchange(m_isLoadReportScheduled, true))
             m_loadTimer.startIn(std::max(Duration{}, m_loadsSentAt + loadInterval() - now));
-        if (m_shuttingDown && m_runner.openTasks() == 0 && !std::exchange(m_isStopDue, true))
-            m_shutdownTimer.startIn(BeatInterval); // the last ends are on their way to the entries
+        if (m_isShuttingDown && m_runner.openTasks() == 0
+            && !std::exchange(m_isStopScheduled, true))
+            // The last messages about ended tasks must still reach the entries.
+            m_shutdownTimer.startIn(LinkHeartbeatInterval);
     }
 
     Duration loadInterval() const
     {
-        return m_runner.isNearlyFull() ? BusyLoadInterval : CalmLoadInterval;
+        return m_runner.isNearlyFull() ? NearlyFullLoadInterval : SpareRoomLoadInterval;
     }
 
-    // `kind` is the label in the metrics.
+    // Sends a call to the worker and passes its parsed reply to TaskRunner::*onReply. `kind` is the
+    // value of the label "call" in the metrics.
     template <typename Order, typename Reply>
     void
     callWorker(const char *kind, const Order &order, Reply (*parse)(const platform::CallResult &),
@@ -132,19 +143,19 @@
 
     void perform(SendToEntry &effect)
     {
-        for (auto &[address, dial] : m_dials) {
-            if (!dial.entry || dial.entry->instance != effect.entry)
+        for (auto &[address, connection] : m_connections) {
+            if (!connection.entry || connection.entry->instance != effect.entry)
                 continue;
-            if (isLeaving(dial) && std::holds_alternative<WorkerUpdate>(effect.message))
+            if (isReleasing(connection) && std::holds_alternative<WorkerUpdate>(effect.message))
                 return;
-            dial.link->send(std::move(effect.message));
+            connection.link->send(std::move(effect.message));
             return;
         }
     }
 
     void perform(LogEvent &effect) { log(effect); }
 
-    void onRequest(RequestId id, const HttpRequest &request)
+    void onWorkerRequest(RequestId id, const HttpRequest &request)
     {
         const auto news = platform::parseWorkerNews(request);
         if (!isOk(news)) {
@@ -166,20 +177,20 @@
 
     // Entries
 
-    static bool isLeaving(const Dial &it) { return it.leavingSince != NeverTime; }
+    static bool isReleasing(const EntryConnection &it) { return it.releasingSince != NeverTime; }
 
-    // Dials what the selection asks for; to be called after each change of it.
+    // Dials the entries that m_selection asks for. Must be called after each change of m_selection.
     void connectEntries()
     {
         for (const std::string &address : m_selection.plan(bootNow()).dial)
-            dial(address, m_dials[address]);
+            dial(address, m_connections[address]);
     }
 
-    void onEntryAddress(const std::string &) override
+    void onEntryAddressAdded(const std::string &) override
     {
-        if (!std::exchange(m_isConnectDue, true)) // several come at once
+        if (!std::exchange(m_isConnectScheduled, true)) // once for several addresses
             m_loop.post([this] {
-                m_isConnectDue = false;
+                m_isConnectScheduled = false;
                 connectEntries();
             });
     }
@@ -188,25 +199,25 @@
     {
         addEntryAddress(address, "entry");
         m_selection.reportedAlive(address, bootNow());
-        const auto it = m_dials.find(address);
-        if (it != m_dials.end() && it->second.link && !it->second.entry
-            && bootNow() - it->second.dialledAt > FreshDial)
+        const auto it = m_connections.find(address);
+        if (it != m_connections.end() && it->second.link && !it->second.entry
+            && bootNow() - it->second.dialledAt > MaxDialAgeAtEntryStart)
             dial(address, it->second);
         connectEntries();
     }
 
-    void dial(const std::string &address, Dial &it)
+    void dial(const std::string &address, EntryConnection &it)
     {
         it.entry.reset();
         it.link.reset();
-        it.leavingSince = NeverTime;
+        it.releasingSince = NeverTime;
         it.dialledAt = it.heardAt = bootNow();
         m_selection.dialled(address, it.dialledAt);
         auto link = FramedLink::dial(
             m_loop, address,
             {[this, &it] {
                  it.link->send(PeerHello{
-                     m_settings.instance, m_self, Role::Agent, m_settings.dataCentre, {}});
+                     m_settings.instance, m_incarnation, Role::Agent, m_settings.dataCentre, {}});
              },
              [this, address, &it](const std::vector<PeerMessage> &messages) {
                  onMessages(address, it, messages);
@@ -220,52 +231,55 @@
             });
     }
 
-    void onClosed(const std::string &address, Dial &it, std::string_view reason)
+    void onClosed(const std::string &address, EntryConnection &it, std::string_view reason)
     {
         if (it.entry)
-            log({isLeaving(it) ? Severity::Info : Severity::Warning,
-                 isLeaving(it) ? "entry_released" : "entry_lost",
+            log({isReleasing(it) ? Severity::Info : Severity::Warning,
+                 isReleasing(it) ? "entry_released" : "entry_lost",
                  {{"entry", it.entry->name},
                   {"address", address},
                   {"reason", std::string(reason)},
                   {"heard_ms", std::to_string((bootNow() - it.heardAt) / 1ms)}}});
         it.entry.reset();
         it.link.reset();
-        it.leavingSince = NeverTime;
+        it.releasingSince = NeverTime;
         m_selection.closed(address, bootNow());
         connectEntries();
     }
 
-    // An entry that is not needed gets no more room, and is left once its tasks have ended.
+    // Closes surplus connections. First tells the entry that the workers are gone, so that it
+    // assigns no more tasks, and closes the connection once the entry's tasks have ended. Reports
+    // the workers again to an entry that is no longer surplus.
     void releaseEntries(const std::vector<std::string> &surplus)
     {
         const TimePoint now = bootNow();
-        for (auto &[address, it] : m_dials) {
+        for (auto &[address, it] : m_connections) {
             if (!it.entry)
                 continue;
             const bool isSurplus
                 = std::find(surplus.begin(), surplus.end(), address) != surplus.end();
-            if (isSurplus != isLeaving(it)) {
-                it.leavingSince = isSurplus ? now : NeverTime;
+            if (isSurplus != isReleasing(it)) {
+                it.releasingSince = isSurplus ? now : NeverTime;
                 sendWorkers(it);
-            } else if (isSurplus && now - it.leavingSince > LeaveTime
+            } else if (isSurplus && now - it.releasingSince > ReleaseDelay
                        && m_runner.openTasksOf(it.entry->instance) == 0) {
                 onClosed(address, it, "not needed");
             }
         }
     }
 
-    void sendWorkers(Dial &it)
+    void sendWorkers(EntryConnection &it)
     {
         for (WorkerUpdate update : m_runner.workers()) {
-            update.isGone |= isLeaving(it);
+            update.isGone |= isReleasing(it);
             it.link->send(std::move(update));
         }
-        if (!isLeaving(it))
+        if (!isReleasing(it))
             sendLoadsTo(it, m_runner.loads(bootNow()));
     }
 
-    void onMessages(const std::string &address, Dial &it, const std::vector<PeerMessage> &messages)
+    void onMessages(const std::string &address, EntryConnection &it,
+                    const std::vector<PeerMessage> &messages)
     {
         it.heardAt = bootNow();
         m_decisions.step([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
@@ -276,8 +290,8 @@
         });
     }
 
-    void onMessage(const std::string &address, Dial &it, const PeerMessage &message, TimePoint now,
-                   RunnerOutbox &out)
+    void onMessage(const std::string &address, EntryConnection &it, const PeerMessage &message,
+                   TimePoint now, RunnerOutbox &out)
     {
         if (const auto *hello = std::get_if<PeerHello>(&message))
             return onHello(address, it, *hello, now, out);
@@ -297,8 +311,8 @@
                 m_loop.post([this, other = start.address] { onEntryStarted(other); });
     }
 
-    void onHello(const std::string &address, Dial &it, const PeerHello &hello, TimePoint now,
-                 RunnerOutbox &out)
+    void onHello(const std::string &address, EntryConnection &it, const PeerHello &hello,
+                 TimePoint now, RunnerOutbox &out)
     {
         if (hello.role != Role::Entry)
             return;
@@ -308,19 +322,19 @@
              "entry_connected",
              {{"entry", hello.name}, {"incarnation", std::to_string(hello.instance.value)}}});
         m_runner.onEntryHello(hello.instance, hello.name, now, out);
-        it.link->send(nextBeat());
+        it.link->send(makeHeartbeat());
         sendInventory(it);
         sendWorkers(it);
     }
 
-    void sendInventory(Dial &it)
+    void sendInventory(EntryConnection &it)
     {
         TaskInventory inventory = m_runner.inventoryOf(it.entry->instance);
         it.orphanFreeWorkers = inventory.orphanFreeWorkers;
         it.link->send(std::move(inventory));
     }
 
-    void sendLoadsTo(Dial &it, const std::vector<WorkerLoad> &loads)
+    void sendLoadsTo(EntryConnection &it, const std::vector<WorkerLoad> &loads)
     {
         for (WorkerLoad load : loads) {
             load.assignments = m_runner.lastAssignmentNumberOf(it.entry->instance);
@@ -331,13 +345,13 @@
 
     void sendLoads()
     {
-        m_isLoadDue = false;
+        m_isLoadReportScheduled = false;
         m_loadVersion = m_runner.loadVersion();
         m_loadsSentAt = bootNow();
         const std::vector<std::string> orphanFreeWorkers = m_runner.orphanFreeWorkers();
         const std::vector<WorkerLoad> loads = m_runner.loads(m_loadsSentAt);
-        for (auto &[address, it] : m_dials) {
-            if (!it.entry || isLeaving(it) || it.loadVersion == m_loadVersion)
+        for (auto &[address, it] : m_connections) {
+            if (!it.entry || isReleasing(it) || it.loadVersion == m_loadVersion)
                 continue;
             if (it.orphanFreeWorkers != orphanFreeWorkers)
                 sendInventory(it);
@@ -345,32 +359,33 @@
         }
     }
 
-    PeerHeartbeat nextBeat() const
+    PeerHeartbeat makeHeartbeat() const
     {
-        const auto heard = std::count_if(m_dials.begin(), m_dials.end(), [](const auto &dial) {
-            return dial.second.entry && !isLeaving(dial.second);
-        });
+        const auto heard
+            = std::count_if(m_connections.begin(), m_connections.end(), [](const auto &connection) {
+                  return connection.second.entry && !isReleasing(connection.second);
+              });
         return {bootNow(), static_cast<std::uint32_t>(heard)};
     }
 
-    void beat()
+    void onHeartbeatTick()
     {
-        m_beatTimer.startIn(BeatInterval);
-        ++m_beats;
+        m_heartbeatTimer.startIn(LinkHeartbeatInterval);
+        ++m_heartbeatTicks;
         const TimePoint now = bootNow();
-        for (auto &[address, it] : m_dials) {
+        for (auto &[address, it] : m_connections) {
             if (!it.link)
                 continue;
-            if (it.entry && now - it.heardAt > LinkSilence)
+            if (it.entry && now - it.heardAt > LinkSilenceTimeout)
                 onClosed(address, it, "silent");
             else if (!it.entry && now - it.dialledAt > DialTimeout)
                 onClosed(address, it, "not open in time");
-            else if (it.entry && isBeatDue(*it.link))
-                it.link->send(nextBeat());
+            else if (it.entry && isHeartbeatDue(*it.link))
+                it.link->send(makeHeartbeat());
         }
         const EntrySelection::Plan plan = m_selection.plan(now);
         for (const std::string &address : plan.dial)
-            dial(address, m_dials[address]);
+            dial(address, m_connections[address]);
         releaseEntries(plan.release);
     }
 
@@ -380,7 +395,7 @@
             [](TaskRunner &runner, TimePoint, RunnerOutbox &out) { runner.beginShutdown(out); });
         if (m_runner.openTasks() > 0)
             m_shutdownTimer.startIn(
-                std::chrono::duration_cast<Duration>(m_settings.shutdownTime * DrainShare));
+                std::chrono::duration_cast<Duration>(m_settings.shutdownTime * DrainTimeFraction));
     }
 
     std::string metricsText() override
@@ -391,23 +406,23 @@
 
     TaskRunner m_runner;
     DecisionLoop<TaskRunner, RunnerEffect, DispatchAgent> m_decisions;
-    Timer m_beatTimer;
+    Timer m_heartbeatTimer;
     Timer m_loadTimer;
     Timer m_shutdownTimer;
     std::unique_ptr<HttpServer> m_server;
-    std::map<std::string, Dial> m_dials; // by address
-    std::uint64_t m_loadVersion = 0;     // sent to all that were connected
+    std::map<std::string, EntryConnection> m_connections; // by address
+    std::uint64_t m_loadVersion = 0;                      // sent to all entries that were connected
     TimePoint m_loadsSentAt{};
-    bool m_isLoadDue = false;
-    bool m_isConnectDue = false;
-    bool m_isStopDue = false;
+    bool m_isLoadReportScheduled = false; // m_loadTimer is running
+    bool m_isConnectScheduled = false;    // connectEntries() is posted
+    bool m_isStopScheduled = false;       // the last task has ended during a shutdown
 };
 
 } // namespace
 
 int runDispatchAgent(std::span<const std::string> arguments)
 {
-    holdSignals();
+    blockSignals();
     auto loaded = loadPlatformSettings(Role::Agent, arguments);
     if (!isOk(loaded))
         return errorOf(loaded).value;
--- a/src/dispatchentry.cpp
+++ b/src/dispatchentry.cpp
@@ -1,4 +1,6 @@
-// Shell of the best-effort entry: callers, agents, other entries, the store and the balancer.
+// I/O of the dispatch-entry process. Passes the requests of callers, the messages of agents and the
+// operators' configuration from the store to JobDispatcher and performs the effects it asks for.
+// Also exchanges addresses with other entries and answers the load balancer's readiness checks.
 
 #include "dispatchentry.h"
 
@@ -18,25 +20,28 @@
 
 using namespace std::chrono_literals;
 
-// A caller that does not say how long it waits, at a queue without a timeout.
-constexpr Duration DefaultPatience = 30s;
+// For a caller that does not say how long it waits, on a queue without a timeout.
+constexpr Duration DefaultCallerTimeout = 30s;
 
-Duration defaultPatience(const QueueSettings &queue)
+Duration defaultCallerTimeout(const QueueSettings &queue)
 {
-    return queue.timeout > Duration{} ? queue.timeout : DefaultPatience;
+    return queue.timeout > Duration{} ? queue.timeout : DefaultCallerTimeout;
 }
 
-// The balancer asks each second and needs two refusals; until then new connections still come.
-constexpr Duration ServeAfterShutdown = 2500ms;
-constexpr Duration NotReadyRetry = 1s;
-constexpr Duration QuietInterval = 20ms;
-// News of other entries are joined for this long.
-constexpr Duration NewsInterval = 50ms;
-// A connection that says nothing at all is closed after this.
-constexpr Duration DeadLink = 2s;
-// Nothing rests on connections between entries but news, so they are looked after at a slow pace.
-constexpr Duration EntryBeatInterval = 1s;
-constexpr Duration DeadEntryLink = 3500ms;
+// Jobs are accepted for this long after the shutdown signal. The load balancer checks readiness
+// every second and stops sending new connections only after two failed checks.
+constexpr Duration AcceptAfterShutdownSignal = 2500ms;
+constexpr Duration NotReadyRetryDelay = 1s; // sent as Retry-After
+// How often a process that shuts down checks whether all jobs are answered.
+constexpr Duration DrainCheckInterval = 20ms;
+// New addresses and starts of entries are collected for this long and sent in one message.
+constexpr Duration EntryUpdateDelay = 50ms;
+// A connection on which no message arrives for this long is closed, unless its peer is an entry.
+constexpr Duration LinkTimeout = 2s;
+// Connections between entries carry only entry addresses and starts, so a broken one may be found
+// later and needs fewer heartbeats.
+constexpr Duration EntryHeartbeatInterval = 1s;
+constexpr Duration EntryLinkTimeout = 3500ms;
 
 class DispatchEntry : public DispatchProcess
 {
@@ -44,70 +49,72 @@
     explicit DispatchEntry(LoadedSettings loaded)
         : DispatchProcess(Role::Entry, std::move(loaded.settings), std::move(loaded.path))
         , m_linkListen(std::move(loaded.linkListen))
-        , m_dispatcher({m_self.value, lostAgentTimeout(m_settings)}, bootNow())
+        , m_dispatcher({m_incarnation.value, lostAgentTimeout(m_settings)}, bootNow())
         , m_decisions(m_loop, m_dispatcher, *this)
-        , m_beatTimer(m_loop, [this] { beat(); })
-        , m_newsTimer(m_loop, [this] { sendNews(); })
+        , m_heartbeatTimer(m_loop, [this] { onHeartbeatTick(); })
+        , m_entryUpdateTimer(m_loop, [this] { sendEntryUpdates(); })
         , m_refuseTimer(m_loop, [this] { refuseNewJobs(); })
-        , m_quietTimer(m_loop, [this] { awaitQuiet(); })
+        , m_drainTimer(m_loop, [this] { stopWhenDrained(); })
     {}
 
-    std::optional<DispatchError> start()
+    std::optional<StartupError> start()
     {
         HttpServerLimits limits;
         limits.watchCallers = true;
         auto callers = HttpServer::listen(
             m_loop, m_settings.callerAddress, limits,
-            [this](RequestId id, const HttpRequest &request) { onRequest(id, request); },
+            [this](RequestId id, const HttpRequest &request) { onCallerRequest(id, request); },
             [this](RequestId id) { onCallerClosed(id); });
         if (!isOk(callers))
-            return DispatchError{errorOf(callers).reason};
-        m_callers = std::move(valueOf(callers));
+            return StartupError{errorOf(callers).reason};
+        m_callerServer = std::move(valueOf(callers));
         auto readiness = HttpServer::listen(
             m_loop, m_settings.readinessAddress, {},
-            [this](RequestId id, const HttpRequest &request) { onReadiness(id, request); });
+            [this](RequestId id, const HttpRequest &request) { onReadinessRequest(id, request); });
         if (!isOk(readiness))
-            return DispatchError{errorOf(readiness).reason};
-        m_readiness = std::move(valueOf(readiness));
+            return StartupError{errorOf(readiness).reason};
+        m_readinessServer = std::move(valueOf(readiness));
         auto listener
             = FramedListener::listen(m_loop, m_linkListen, [this](int fd) { onAccepted(fd); });
         if (!isOk(listener))
-            return DispatchError{errorOf(listener).reason};
+            return StartupError{errorOf(listener).reason};
         m_listener = std::move(valueOf(listener));
         if (auto error = serveMetrics())
             return error;
-        followEntries();
-        m_entriesFollower->publish(m_settings.instance, m_settings.linkAddress);
-        followOperators();
-        m_beatTimer.startIn(BeatInterval);
+        followEntryAddresses();
+        m_entryFollower->publish(m_settings.instance, m_settings.linkAddress);
+        followOperatorTopic();
+        m_heartbeatTimer.startIn(LinkHeartbeatInterval);
         return std::nullopt;
     }
 
 private:
     friend class DecisionLoop<JobDispatcher, DispatcherEffect, DispatchEntry>;
 
-    // A connection that an agent or another entry opened, or one to another entry.
+    // A connection that an agent or another entry opened, or that this entry dialled to another
+    // one.
     struct Link
     {
         std::unique_ptr<FramedLink> link;
-        std::string dialled; // address; empty for an accepted connection
-        TimePoint heardAt{};
-        std::optional<PeerHello> peer;
+        std::string dialled;           // address; empty for an accepted connection
+        TimePoint heardAt{};           // newest message, or begin of the connection
+        std::optional<PeerHello> peer; // none until the peer's hello arrives
     };
 
     using LinkId = std::uint64_t;
 
+    // A task that an agent was told to start has ended this long after the agent was last heard.
     static Duration lostAgentTimeout(const platform::PlatformSettings &settings)
     {
-        // The lease runs on the worker's clock, which may be 2% slow; the rest is for stops and
-        // calls.
+        // The lease runs on the worker's clock, which may be 2% slow. The worker then needs up to
+        // the stop time to end the run, and the 700 ms are for calls that are under way.
         return settings.leaseTime + settings.leaseTime / 50 + settings.stopTime + 700ms;
     }
 
     void perform(AnswerJob &effect)
     {
         const RequestId id{effect.caller.value};
-        const auto arrived = m_arrivals.extract(id);
+        const auto arrived = m_arrivalTimes.extract(id);
         if (arrived.empty())
             return;
         const DispatchAnswer &answer = effect.answer;
@@ -129,22 +136,22 @@
 
     void perform(LogEvent &effect) { log(effect); }
 
-    void onSettled(TimePoint) {}
+    void onPendingProcessed(TimePoint) {}
 
     // Callers
 
     void respond(RequestId id, HttpResponse response)
     {
-        // The balancer sends the caller's next connection elsewhere.
-        if (m_shuttingDown)
+        // The caller opens a new connection, which the load balancer sends to another entry.
+        if (m_isShuttingDown)
             response.headers["Connection"] = "close";
-        m_callers->respond(id, std::move(response));
+        m_callerServer->respond(id, std::move(response));
     }
 
-    void onRequest(RequestId id, const HttpRequest &request)
+    void onCallerRequest(RequestId id, const HttpRequest &request)
     {
-        if (m_dispatcher.config().version == 0 || m_refusing)
-            return respond(id, platform::formatNotReady(NotReadyRetry));
+        if (m_dispatcher.config().version == 0 || m_isRefusingJobs)
+            return respond(id, platform::formatNotReady(NotReadyRetryDelay));
         const auto host = request.headers.find("host");
         const QueueMatch match = matchQueue(
             m_dispatcher.config(), host == request.headers.end() ? "" : host->second, request.path);
@@ -168,48 +175,48 @@
             return respond(id, platform::formatError(errorOf(job)));
         }
         valueOf(job).queue = match.queue->name;
-        m_arrivals[id] = bootNow();
-        const Duration patience
-            = platform::callerPatience(request).value_or(defaultPatience(*match.queue));
+        m_arrivalTimes[id] = bootNow();
+        const Duration timeout
+            = platform::callerPatience(request).value_or(defaultCallerTimeout(*match.queue));
         m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
-            dispatcher.submit(CallerId{id.value}, std::move(valueOf(job)), patience, now, out);
+            dispatcher.submit(CallerId{id.value}, std::move(valueOf(job)), timeout, now, out);
         });
     }
 
     void onCallerClosed(RequestId id)
     {
-        if (m_arrivals.erase(id) == 0)
+        if (m_arrivalTimes.erase(id) == 0)
             return; // answered
         m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
             dispatcher.callerDisconnected(CallerId{id.value}, now, out);
         });
     }
 
-    void onReadiness(RequestId id, const HttpRequest &request)
+    void onReadinessRequest(RequestId id, const HttpRequest &request)
     {
         if (!platform::isReadinessRequest(request))
-            return m_readiness->respond(id, {404, "{}"});
-        const bool isReady = !m_shuttingDown && m_dispatcher.config().version != 0
+            return m_readinessServer->respond(id, {404, "{}"});
+        const bool isReady = !m_isShuttingDown && m_dispatcher.config().version != 0
                              && m_dispatcher.workers().connectedAgents() > 0;
-        if (m_wasReady != isReady) {
-            m_wasReady = isReady;
+        if (m_lastReadiness != isReady) {
+            m_lastReadiness = isReady;
             log({Severity::Info,
                  isReady ? "ready" : "not_ready",
                  {{"config", std::to_string(m_dispatcher.config().version)},
                   {"agents", std::to_string(m_dispatcher.workers().connectedAgents())}}});
         }
-        m_readiness->respond(id, {isReady ? 200 : 503, "{}"});
+        m_readinessServer->respond(id, {isReady ? 200 : 503, "{}"});
     }
 
     // Operators
 
-    void followOperators()
+    void followOperatorTopic()
     {
         StoreFollowerSettings settings;
         settings.store = m_settings.storeAddress;
         settings.topic = platform::operatorTopic();
-        settings.seed = m_self.value;
-        m_operatorsFollower = std::make_unique<StoreFollower>(
+        settings.seed = m_incarnation.value;
+        m_operatorFollower = std::make_unique<StoreFollower>(
             m_loop, m_http, std::move(settings),
             StoreFollower::Handlers{
                 [this](const platform::StoreRecord &record) { onOperatorRecord(record); },
@@ -222,7 +229,8 @@
                 }});
     }
 
-    // A configuration never goes back within the life of a process.
+    // Applies a configuration. Ignores older versions than the one in force: the store may deliver
+    // records again.
     void onOperatorRecord(const platform::StoreRecord &record)
     {
         if (record.key != platform::ConfigKey)
@@ -244,7 +252,7 @@
 
     // Agents and other entries
 
-    FramedLink::Handlers handlersOf(LinkId id)
+    FramedLink::Handlers makeHandlers(LinkId id)
     {
         return {[this, id] { sendHello(m_links.at(id)); },
                 [this, id](const std::vector<PeerMessage> &messages) { onMessages(id, messages); },
@@ -253,8 +261,8 @@
 
     void sendHello(Link &it)
     {
-        it.link->send(PeerHello{m_settings.instance, m_self, Role::Entry, m_settings.dataCentre,
-                                m_settings.linkAddress});
+        it.link->send(PeerHello{m_settings.instance, m_incarnation, Role::Entry,
+                                m_settings.dataCentre, m_settings.linkAddress});
         it.link->send(knownEntries());
     }
 
@@ -265,25 +273,25 @@
         const LinkId id = ++m_lastLink;
         Link &it = m_links[id];
         it.heardAt = bootNow();
-        it.link = FramedLink::adopt(m_loop, fd, handlersOf(id));
+        it.link = FramedLink::adopt(m_loop, fd, makeHandlers(id));
         sendHello(it);
     }
 
-    void onEntryAddress(const std::string &address) override
+    void onEntryAddressAdded(const std::string &address) override
     {
         m_newAddresses.addresses.push_back(address);
-        planNews();
+        scheduleEntryUpdates();
     }
 
-    void planNews()
+    void scheduleEntryUpdates()
     {
-        if (!std::exchange(m_isNewsDue, true))
-            m_newsTimer.startIn(NewsInterval);
+        if (!std::exchange(m_isEntryUpdateScheduled, true))
+            m_entryUpdateTimer.startIn(EntryUpdateDelay);
     }
 
-    void sendNews()
+    void sendEntryUpdates()
     {
-        m_isNewsDue = false;
+        m_isEntryUpdateScheduled = false;
         connectEntries();
         for (auto &[id, it] : m_links) {
             if (!it.peer)
@@ -297,14 +305,15 @@
         m_newStarts.starts.clear();
     }
 
+    // Passes on the start of another entry's process the first time that it is heard of.
     void onEntryStarted(const EntryStart &start)
     {
-        if (start.instance == m_self || !m_entriesMet.insert(start.instance).second)
+        if (start.instance == m_incarnation || !m_seenEntryProcesses.insert(start.instance).second)
             return;
         addEntryAddress(start.address, "entry");
         m_selection.reportedAlive(start.address, bootNow());
         m_newStarts.starts.push_back(start);
-        planNews();
+        scheduleEntryUpdates();
     }
 
     void connectEntries()
@@ -321,7 +330,7 @@
         const TimePoint now = bootNow();
         m_selection.dialled(address, now);
         const LinkId id = ++m_lastLink;
-        auto link = FramedLink::dial(m_loop, address, handlersOf(id));
+        auto link = FramedLink::dial(m_loop, address, makeHandlers(id));
         if (!isOk(link))
             return m_selection.closed(address, now);
         Link &it = m_links[id];
@@ -350,7 +359,7 @@
               {"heard_ms", std::to_string((bootNow() - heardAt) / 1ms)}}});
         const auto agent = m_agentLinks.find(peer->instance);
         if (agent == m_agentLinks.end() || agent->second != id)
-            return; // the agent has a newer connection
+            return; // the agent has opened a newer connection
         m_agentLinks.erase(agent);
         m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
             dispatcher.onAgentDisconnected(peer->instance, now, out);
@@ -390,7 +399,8 @@
         }
         const auto [agent, isNew] = m_agentLinks.try_emplace(hello.instance, id);
         if (!isNew) {
-            // The agent reads only its newest connection: what is unsent on the older one is lost.
+            // The agent reads only its newest connection, so messages that are queued on the older
+            // one are lost.
             const LinkId older = std::exchange(agent->second, id);
             m_dispatcher.onAgentDisconnected(hello.instance, now, out);
             m_loop.post([this, older] { closeLink(older, "replaced"); });
@@ -398,18 +408,20 @@
         m_dispatcher.onAgentConnected(hello, now, out);
     }
 
-    void beat()
+    void onHeartbeatTick()
     {
-        m_beatTimer.startIn(BeatInterval);
-        ++m_beats;
+        m_heartbeatTimer.startIn(LinkHeartbeatInterval);
+        ++m_heartbeatTicks;
         const TimePoint now = bootNow();
-        const bool isEntryBeat = m_beats % (EntryBeatInterval / BeatInterval) == 0;
+        const bool isEntryHeartbeatDue
+            = m_heartbeatTicks % (EntryHeartbeatInterval / LinkHeartbeatInterval) == 0;
         std::vector<LinkId> silent;
         for (auto &[id, it] : m_links) {
             const bool isEntry = it.peer && it.peer->role == Role::Entry;
-            if (now - it.heardAt > (isEntry ? DeadEntryLink : DeadLink))
+            if (now - it.heardAt > (isEntry ? EntryLinkTimeout : LinkTimeout))
                 silent.push_back(id);
-            else if (it.link->isOpen() && (isEntry ? isEntryBeat : isBeatDue(*it.link)))
+            else if (it.link->isOpen()
+                     && (isEntry ? isEntryHeartbeatDue : isHeartbeatDue(*it.link)))
                 it.link->send(PeerHeartbeat{now, 0});
         }
         for (const LinkId id : silent)
@@ -430,22 +442,23 @@
 
     void beginShutdown() override
     {
-        m_refuseTimer.startIn(std::min(ServeAfterShutdown, m_settings.shutdownTime / 2));
+        m_refuseTimer.startIn(std::min(AcceptAfterShutdownSignal, m_settings.shutdownTime / 2));
     }
 
     void refuseNewJobs()
     {
-        m_refusing = true;
+        m_isRefusingJobs = true;
         m_dispatcher.beginShutdown();
-        awaitQuiet();
+        stopWhenDrained();
     }
 
-    void awaitQuiet()
+    // Ends the process once every job is answered and every response is sent.
+    void stopWhenDrained()
     {
-        if (m_dispatcher.openJobs() == 0 && m_callers->openRequests() == 0)
+        if (m_dispatcher.openJobs() == 0 && m_callerServer->openRequests() == 0)
             m_loop.stop();
         else
-            m_quietTimer.startIn(QuietInterval);
+            m_drainTimer.startIn(DrainCheckInterval);
     }
 
     std::string metricsText() override
@@ -454,38 +467,38 @@
         m_metrics.set("cactuscove_up_members", {{"role", "agent"}},
                       static_cast<double>(m_dispatcher.workers().connectedAgents()));
         m_metrics.set("cactuscove_open_requests", {},
-                      static_cast<double>(m_callers->openRequests()));
+                      static_cast<double>(m_callerServer->openRequests()));
         return m_metrics.text();
     }
 
-    std::string m_linkListen; // ip:port
+    std::string m_linkListen; // "ip:port" on which links of agents and entries are accepted
     JobDispatcher m_dispatcher;
     DecisionLoop<JobDispatcher, DispatcherEffect, DispatchEntry> m_decisions;
-    Timer m_beatTimer;
-    Timer m_newsTimer;
+    Timer m_heartbeatTimer;
+    Timer m_entryUpdateTimer;
     Timer m_refuseTimer;
-    Timer m_quietTimer;
-    std::unique_ptr<HttpServer> m_callers;
-    std::unique_ptr<HttpServer> m_readiness;
+    Timer m_drainTimer;
+    std::unique_ptr<HttpServer> m_callerServer;
+    std::unique_ptr<HttpServer> m_readinessServer;
     std::unique_ptr<FramedListener> m_listener;
-    std::unique_ptr<StoreFollower> m_operatorsFollower;
+    std::unique_ptr<StoreFollower> m_operatorFollower;
     std::map<LinkId, Link> m_links;
-    std::map<Incarnation, LinkId> m_agentLinks; // newest connection of each agent
-    std::set<Incarnation> m_entriesMet;         // processes of other entries that are known
-    KnownEntries m_newAddresses;                // not told yet
-    EntriesStarted m_newStarts;                 // not told yet
-    std::map<RequestId, TimePoint> m_arrivals;  // jobs that are not answered
+    std::map<Incarnation, LinkId> m_agentLinks;    // newest connection of each agent
+    std::set<Incarnation> m_seenEntryProcesses;    // processes of other entries seen so far
+    KnownEntries m_newAddresses;                   // not yet sent to the connected peers
+    EntriesStarted m_newStarts;                    // not yet sent to the connected peers
+    std::map<RequestId, TimePoint> m_arrivalTimes; // of jobs that are not answered
     LinkId m_lastLink = 0;
-    std::optional<bool> m_wasReady;
-    bool m_refusing = false;
-    bool m_isNewsDue = false;
+    std::optional<bool> m_lastReadiness;   // as answered last; none before the first check
+    bool m_isRefusingJobs = false;         // the process shuts down and takes no new jobs
+    bool m_isEntryUpdateScheduled = false; // m_entryUpdateTimer is running
 };
 
 } // namespace
 
 int runDispatchEntry(std::span<const std::string> arguments)
 {
-    holdSignals();
+    blockSignals();
     auto loaded = loadPlatformSettings(Role::Entry, arguments);
     if (!isOk(loaded))
         return errorOf(loaded).value;
--- a/src/dispatchentry.h
+++ b/src/dispatchentry.h
@@ -1,4 +1,5 @@
-// The process that takes best-effort jobs from callers and coordinates them.
+// The dispatch-entry process: accepts best-effort jobs from callers over HTTP, distributes their
+// tasks to the agents and returns the results.
 
 #pragma once
 
@@ -7,7 +8,10 @@
 
 namespace cactuscove {
 
-// Returns the exit status of the process.
+// Runs the process until a signal has ended it; called once by main() for the command
+// dispatch-entry. `arguments` are the command line flags after the command. Returns the exit status
+// of the process: 0 after a shutdown or --help, 1 if it cannot listen on an address, 2 for wrong
+// flags or settings. Errors before the start are printed to standard error.
 int runDispatchEntry(std::span<const std::string> arguments);
 
 } // namespace cactuscove
--- a/src/dispatchprocess.cpp
+++ b/src/dispatchprocess.cpp
@@ -1,4 +1,4 @@
-// Start, reload and stop of the best-effort processes.
+// Command line, settings, signals, metrics server and entry addresses of the best-effort processes.
 
 #include "dispatchprocess.h"
 
@@ -22,15 +22,16 @@
 namespace {
 
 constexpr int HandledSignals[] = {SIGTERM, SIGINT, SIGHUP};
-// Entries that an agent takes tasks from. Each entry is then linked to A * 8 / E of A agents: with
-// five agents for an entry to some 40, whose workers rarely are all busy while others are not.
-constexpr std::size_t AgentLinks = 8;
-// Other entries that an entry hears news from, beside those that chose it.
-constexpr std::size_t EntryLinks = 3;
+// Entries that an agent connects to and takes tasks from. With A agents and E entries each entry is
+// connected to A * 8 / E agents: with five agents per entry to about 40. It is then rare that all
+// their workers are busy while workers of other agents are free.
+constexpr std::size_t EntriesPerAgent = 8;
+// Other entries that an entry connects to, in addition to those that connect to it.
+constexpr std::size_t EntriesPerEntry = 3;
 constexpr ExitStatus Success{0};
 constexpr ExitStatus UsageError{2};
 
-void changeSignalMask(int how)
+void setSignalMask(int how)
 {
     sigset_t signals;
     sigemptyset(&signals);
@@ -51,7 +52,7 @@
     return role == Role::Entry ? "entry" : "agent";
 }
 
-// The flags alone: the paths and addresses of the result are not checked.
+// Parses the flags only: the file and the addresses that they name are not checked.
 std::variant<LoadedSettings, ExitStatus> parseFlags(Role role, const std::string &program,
                                                     std::span<const std::string> arguments)
 {
@@ -63,8 +64,8 @@
         "settings file of the platform (TOML); default: the variable CACTUSCOVE_BOOT");
     if (role == Role::Entry)
         add("link-listen", po::value(&loaded.linkListen),
-            "ip:port to listen on for other instances, where it differs from the address by which "
-            "they reach this one, as behind a port forwarding");
+            "ip:port to listen on for other instances, if it differs from the address by which "
+            "they reach this one, for example behind a port forwarding");
     add("help", "print this text");
     po::variables_map values;
     try {
@@ -81,8 +82,8 @@
     return Success;
 }
 
-// Reads the settings file and checks the flags; returns every mistake.
-std::vector<std::string> fillSettings(Role role, LoadedSettings &loaded)
+// Checks the flags and reads the settings file into `loaded`. Returns all mistakes; empty: none.
+std::vector<std::string> checkAndReadSettings(Role role, LoadedSettings &loaded)
 {
     std::vector<std::string> errors;
     if (!loaded.linkListen.empty() && !isAddress(loaded.linkListen))
@@ -105,9 +106,9 @@
 
 } // namespace
 
-void holdSignals()
+void blockSignals()
 {
-    changeSignalMask(SIG_BLOCK);
+    setSignalMask(SIG_BLOCK);
 }
 
 std::variant<LoadedSettings, ExitStatus>
@@ -118,7 +119,7 @@
     if (!isOk(flags))
         return flags;
     LoadedSettings &loaded = valueOf(flags);
-    const std::vector<std::string> errors = fillSettings(role, loaded);
+    const std::vector<std::string> errors = checkAndReadSettings(role, loaded);
     for (const std::string &it : errors)
         std::fprintf(stderr, "%s: %s\n", program.c_str(), it.c_str());
     if (!errors.empty())
@@ -131,7 +132,7 @@
     : m_role(role)
     , m_settings(std::move(settings))
     , m_settingsPath(std::move(settingsPath))
-    , m_self(newIncarnation())
+    , m_incarnation(newIncarnation())
     , m_log(m_loop, nameOf(role), m_settings.instance, STDOUT_FILENO)
     , m_http(m_loop)
     , m_selection(m_settings.instance, 1)
@@ -148,18 +149,18 @@
     std::signal(SIGPIPE, SIG_IGN);
     for (const int signal : {SIGTERM, SIGINT})
         m_loop.onSignal(signal, [this] {
-            if (m_shuttingDown)
+            if (m_isShuttingDown)
                 return;
-            m_shuttingDown = true;
+            m_isShuttingDown = true;
             log({Severity::Info, "shutdown_started", {}});
             beginShutdown();
         });
-    m_loop.onSignal(SIGHUP, [this] { reload(); });
-    changeSignalMask(SIG_UNBLOCK);
+    m_loop.onSignal(SIGHUP, [this] { reloadSettings(); });
+    setSignalMask(SIG_UNBLOCK);
     log({Severity::Info,
          "process_started",
          {{"version", std::string(version())},
-          {"incarnation", std::to_string(m_self.value)},
+          {"incarnation", std::to_string(m_incarnation.value)},
           {"data_centre", m_settings.dataCentre},
           {"seeds", std::to_string(m_settings.seedLinks.size())}}});
     for (const std::string &it : m_settings.seedLinks)
@@ -170,8 +171,8 @@
     return 0;
 }
 
-// Addresses of this process cannot change while it runs; the other instances' can.
-void DispatchProcess::reload()
+// Only the seeds are taken over: this process cannot change its own addresses while it runs.
+void DispatchProcess::reloadSettings()
 {
     const auto settings = platform::readSettings(m_settingsPath, m_role);
     if (!isOk(settings)) {
@@ -190,20 +191,21 @@
     if (address == m_settings.linkAddress || !isAddress(address) || !m_selection.add(address))
         return false;
     log({Severity::Info, "entry_known", {{"address", address}, {"source", std::string(source)}}});
-    onEntryAddress(address);
+    onEntryAddressAdded(address);
     return true;
 }
 
-void DispatchProcess::followEntries()
+void DispatchProcess::followEntryAddresses()
 {
     StoreFollowerSettings settings;
     settings.store = m_settings.storeAddress;
-    settings.topic = platform::ownTopic(EntriesTopic);
-    // Entries also tell of each other, so a silent connection here does little harm.
+    settings.topic = platform::ownTopic(EntryAddressTopic);
+    // Entries also send each other's addresses, so it does little harm if a dead connection to the
+    // store is found late.
     settings.wait = std::chrono::seconds(15);
     settings.stallTimeout = std::chrono::milliseconds(15500);
-    settings.seed = m_self.value;
-    m_entriesFollower = std::make_unique<StoreFollower>(
+    settings.seed = m_incarnation.value;
+    m_entryFollower = std::make_unique<StoreFollower>(
         m_loop, m_http, std::move(settings),
         StoreFollower::Handlers{
             [this](const platform::StoreRecord &record) { addEntryAddress(record.value, "store"); },
@@ -211,7 +213,7 @@
                 m_metrics.set("cactuscove_log_reachable", {}, isReachable);
                 log({isReachable ? Severity::Info : Severity::Warning,
                      isReachable ? "store_regained" : "store_lost",
-                     {{"topic", EntriesTopic}, {"detail", detail}}});
+                     {{"topic", EntryAddressTopic}, {"detail", detail}}});
             }});
 }
 
@@ -219,15 +221,16 @@
 {
     for (const std::string &address : known.addresses)
         addEntryAddress(address, "entry");
-    m_selection.setConnectionCount(m_role == Role::Agent ? AgentLinks : EntryLinks);
+    m_selection.setConnectionCount(m_role == Role::Agent ? EntriesPerAgent : EntriesPerEntry);
 }
 
-bool DispatchProcess::isBeatDue(const FramedLink &link) const
+bool DispatchProcess::isHeartbeatDue(const FramedLink &link) const
 {
-    return m_beats % ClockBeats == 0 || m_loop.now() - link.sentAt() > RecentlySent;
+    return m_heartbeatTicks % HeartbeatsPerClockUpdate == 0
+           || m_loop.now() - link.sentAt() > RecentSendTime;
 }
 
-std::optional<DispatchError> DispatchProcess::serveMetrics()
+std::optional<StartupError> DispatchProcess::serveMetrics()
 {
     auto server = HttpServer::listen(
         m_loop, m_settings.metricsAddress, {}, [this](RequestId id, const HttpRequest &request) {
@@ -237,7 +240,7 @@
                 m_metricsServer->respond(id, {404, "{\"error\":\"not_found\"}\n"});
         });
     if (!isOk(server))
-        return DispatchError{errorOf(server).reason};
+        return StartupError{errorOf(server).reason};
     m_metricsServer = std::move(valueOf(server));
     return std::nullopt;
 }
