--- a/src/dispatchcodec.cpp
+++ b/src/dispatchcodec.cpp
@@ -1,4 +1,4 @@
-// MessagePack by msgpack-cxx. Each message lists its fields once, for both directions.
+// Uses msgpack-cxx. fields() lists the fields of each message once, for encoding and decoding.
 
 #include "dispatchcodec.h"
 
@@ -12,11 +12,13 @@
 
 namespace {
 
-// The library allocates what a length in the frame says before it reads the elements.
+// The library allocates memory for the number of elements that an array announces before it reads
+// them, so the number must be limited.
 constexpr std::size_t MaxElements = 1 << 16; // of one array
-constexpr std::size_t MaxDepth = 8;
+constexpr std::size_t MaxDepth = 8;          // of nested arrays
 
-// Lists the fields of each type for a Writer or a Reader.
+// Calls `a`, which is a FieldCounter, Writer or Reader, with all fields of `it` in their order on
+// the wire.
 template <typename A>
 void fields(A &a, Resources &it)
 {
@@ -128,11 +130,13 @@
     a(it.started, it.waiting, it.ended, it.orphanFreeWorkers);
 }
 
+// A type that has an overload of fields().
 template <typename T>
-concept Described
+concept HasFields
     = std::is_class_v<T> && !std::is_same_v<
           T, std::string> && !std::is_same_v<T, TimePoint> && !std::is_same_v<T, Duration>;
 
+// Counts the fields that fields() lists.
 class FieldCounter
 {
 public:
@@ -144,6 +148,7 @@
     std::uint32_t count = 0;
 };
 
+// Appends fields to a buffer as MessagePack.
 class Writer
 {
 public:
@@ -175,7 +180,7 @@
     template <typename T>
     void write(T &value)
     {
-        if constexpr (Described<T>) {
+        if constexpr (HasFields<T>) {
             FieldCounter counter;
             fields(counter, value);
             m_packer.pack_array(counter.count);
@@ -190,18 +195,19 @@
     msgpack::packer<msgpack::sbuffer> m_packer;
 };
 
-// Highest value of each enumeration that is read from the wire.
+// Highest valid value of each enumeration that is read from the wire.
 template <typename T>
-constexpr std::uint32_t LastOf = 0;
+constexpr std::uint32_t MaxEnumValue = 0;
 template <>
-constexpr std::uint32_t LastOf<Role> = static_cast<std::uint32_t>(Role::Agent);
+constexpr std::uint32_t MaxEnumValue<Role> = static_cast<std::uint32_t>(Role::Agent);
 template <>
-constexpr std::uint32_t LastOf<TaskEnd> = static_cast<std::uint32_t>(TaskEnd::Lost);
+constexpr std::uint32_t MaxEnumValue<TaskEnd> = static_cast<std::uint32_t>(TaskEnd::Lost);
 template <>
-constexpr std::uint32_t LastOf<StartRefusal> = static_cast<std::uint32_t>(StartRefusal::Duplicate);
+constexpr std::uint32_t
+    MaxEnumValue<StartRefusal> = static_cast<std::uint32_t>(StartRefusal::Duplicate);
 
-// Throws msgpack::type_error on a field that is missing or of another type; decodeFrame() catches
-// it.
+// Reads the elements of one MessagePack array into fields. Throws msgpack::type_error, which
+// decodeFrame() catches, if an element is missing or has the wrong type.
 class Reader
 {
 public:
@@ -252,12 +258,12 @@
     template <typename T>
     static void read(T &value, const msgpack::object &object)
     {
-        if constexpr (Described<T>) {
+        if constexpr (HasFields<T>) {
             Reader reader(arrayOf(object));
             fields(reader, value);
         } else if constexpr (std::is_enum_v<T>) {
             const auto number = object.as<std::uint32_t>();
-            if (number > LastOf<T>)
+            if (number > MaxEnumValue<T>)
                 throw msgpack::type_error();
             value = static_cast<T>(number);
         } else {
@@ -269,6 +275,8 @@
     std::uint32_t m_next = 0;
 };
 
+// Reads the fields of the message type with this index in PeerMessage. Throws msgpack::type_error
+// if there is no such type.
 template <std::size_t... I>
 PeerMessage readMessage(std::size_t index, Reader &reader, std::index_sequence<I...>)
 {
@@ -293,7 +301,7 @@
     for (const PeerMessage &message : messages) {
         std::visit(
             [&](const auto &it) {
-                // A Writer only reads; the field lists are shared with the Reader.
+                // fields() takes a mutable reference for the Reader; a Writer changes nothing.
                 auto &value = const_cast<std::remove_cvref_t<decltype(it)> &>(it);
                 FieldCounter counter;
                 fields(counter, value);
@@ -322,27 +330,27 @@
     for (std::size_t i = 0; i < FrameHeaderBytes; ++i)
         size = size << 8 | static_cast<unsigned char>(bytes[i]);
     if (size > MaxFrameBytes)
-        return FrameError{"frame of " + std::to_string(size) + " bytes"};
+        return FrameError{"frame of " + std::to_string(size) + " bytes is too long"};
     return FrameHeaderBytes + size;
 }
 
 Result<std::vector<PeerMessage>, FrameError> decodeFrame(std::string_view frame)
 {
     if (frame.size() < FrameHeaderBytes)
-        return FrameError{"no header"};
+        return FrameError{"frame shorter than its header"};
     const std::string_view body = frame.substr(FrameHeaderBytes);
     try {
         const msgpack::object_handle handle = msgpack::unpack(
             body.data(), body.size(), nullptr, nullptr,
             msgpack::unpack_limit(MaxElements, 0, body.size(), body.size(), 0, MaxDepth));
         if (handle.get().type != msgpack::type::ARRAY)
-            return FrameError{"not an array of messages"};
+            return FrameError{"frame body is not an array of messages"};
         const msgpack::object_array &array = handle.get().via.array;
         std::vector<PeerMessage> messages;
         messages.reserve(array.size);
         for (std::uint32_t i = 0; i < array.size; ++i) {
             if (array.ptr[i].type != msgpack::type::ARRAY)
-                return FrameError{"message " + std::to_string(i) + ": not an array"};
+                return FrameError{"message " + std::to_string(i) + " is not an array"};
             Reader reader(array.ptr[i].via.array);
             const auto index = reader.next().as<std::size_t>();
             messages.push_back(readMessage(
@@ -350,7 +358,7 @@
         }
         return messages;
     } catch (const msgpack::type_error &) {
-        return FrameError{"field missing or of another type"};
+        return FrameError{"message type unknown, or field missing or of wrong type"};
     } catch (const msgpack::unpack_error &ex) {
         return FrameError{ex.what()};
     }
