--- a/src/framedlink.cpp
+++ b/src/framedlink.cpp
@@ -19,14 +19,16 @@
 
 namespace {
 
-// A peer that takes this much longer than the beats to acknowledge bytes is cut off.
+// The kernel closes a connection whose peer does not acknowledge sent bytes for this long. Much
+// longer than the interval of heartbeats, so that only a broken connection is closed.
 constexpr unsigned UserTimeoutMs = 1500;
-// A peer that does not read must not fill this process's memory.
+// A connection with more unsent bytes than this is closed. Otherwise a peer that does not read
+// would make this process run out of memory.
 constexpr std::size_t MaxUnsentBytes = 4 << 20;
-constexpr std::size_t ReadBytes = 64 << 10;
-constexpr int Backlog = 256;
+constexpr std::size_t ReadBufferBytes = 64 << 10;
+constexpr int ListenBacklog = 256; // connections that the kernel keeps until they are accepted
 
-void tune(int fd)
+void setSocketOptions(int fd)
 {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -45,8 +47,8 @@
         , m_handlers(std::move(handlers))
         , m_watcher(loop, fd, [this](int events) { onEvents(events); })
     {
-        tune(fd);
-        watch();
+        setSocketOptions(fd);
+        updateWatch();
     }
 
     ~Impl()
@@ -61,19 +63,19 @@
 
     void send(PeerMessage message)
     {
-        if (m_queue.empty())
+        if (m_queuedMessages.empty())
             m_loop.post([this, alive = m_alive] {
                 if (*alive)
                     flush();
             });
-        m_queue.push_back(std::move(message));
+        m_queuedMessages.push_back(std::move(message));
     }
 
     void flush()
     {
-        if (!m_queue.empty()) {
-            m_unsent += encodeFrame(m_queue);
-            m_queue.clear();
+        if (!m_queuedMessages.empty()) {
+            m_unsent += encodeFrame(m_queuedMessages);
+            m_queuedMessages.clear();
             m_sentAt = m_loop.now();
         }
         write();
@@ -83,17 +85,17 @@
     TimePoint sentAt() const { return m_sentAt; }
 
 private:
-    void watch()
+    void updateWatch()
     {
         const bool wantsWrite = !m_isOpen || !m_unsent.empty();
         const int events = IoWatcher::Readable | (wantsWrite ? IoWatcher::Writable : 0);
-        if (std::exchange(m_watched, events) != events)
+        if (std::exchange(m_watchedEvents, events) != events)
             m_watcher.watch(events);
     }
 
     void onEvents(int events)
     {
-        if (!m_isOpen && !finishDialling())
+        if (!m_isOpen && !finishConnect())
             return;
         if (events & IoWatcher::Writable)
             write();
@@ -101,7 +103,8 @@
             read();
     }
 
-    bool finishDialling()
+    // Returns false if the connection could not be established or onOpen destroyed the link.
+    bool finishConnect()
     {
         int error = 0;
         socklen_t size = sizeof error;
@@ -116,7 +119,7 @@
             m_handlers.onOpen();
         if (!*alive)
             return false;
-        watch();
+        updateWatch();
         return true;
     }
 
@@ -136,12 +139,12 @@
         }
         if (m_unsent.size() > MaxUnsentBytes)
             return fail("peer does not read");
-        watch();
+        updateWatch();
     }
 
     void read()
     {
-        std::array<char, ReadBytes> buf;
+        std::array<char, ReadBufferBytes> buf;
         const auto alive = m_alive;
         while (true) {
             const ssize_t n = recv(m_fd, buf.data(), buf.size(), 0);
@@ -152,15 +155,16 @@
             if (n <= 0)
                 return fail(n == 0 ? "closed by peer" : std::strerror(errno));
             m_received.append(buf.data(), static_cast<std::size_t>(n));
-            if (!takeFrames() || !*alive)
+            if (!handleFrames() || !*alive)
                 return;
             if (static_cast<std::size_t>(n) < buf.size())
                 return;
         }
     }
 
-    // False once the link has failed or is destroyed.
-    bool takeFrames()
+    // Passes all complete frames in m_received to the handler. Returns false if the link has failed
+    // or was destroyed by the handler.
+    bool handleFrames()
     {
         const auto alive = m_alive;
         std::size_t at = 0;
@@ -192,11 +196,11 @@
         if (std::exchange(m_hasFailed, true))
             return;
         m_watcher.watch(IoWatcher::None);
-        // Reported from the loop: the owner may be in the middle of sending.
+        // Posted, because the owner may be calling send() or flush().
         m_loop.post([this, alive = m_alive, text = std::string(reason)] {
             if (!*alive)
                 return;
-            const auto onClosed = m_handlers.onClosed; // may destroy the link
+            const auto onClosed = m_handlers.onClosed; // a copy, as it may destroy the link
             onClosed(text);
         });
     }
@@ -207,11 +211,12 @@
     bool m_hasFailed = false;
     Handlers m_handlers;
     IoWatcher m_watcher;
-    int m_watched = IoWatcher::None;
-    std::vector<PeerMessage> m_queue;
-    std::string m_unsent;
-    std::string m_received;
+    int m_watchedEvents = IoWatcher::None;     // events that m_watcher watches
+    std::vector<PeerMessage> m_queuedMessages; // not yet encoded
+    std::string m_unsent;                      // encoded frames that the socket has not taken
+    std::string m_received;                    // begins with a frame that is not complete
     TimePoint m_sentAt{};
+    // Shared with posted tasks and running handlers; false once this object is destroyed.
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
@@ -325,7 +330,8 @@
     const int on = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     socklen_t size = sizeof own;
-    if (bind(fd, reinterpret_cast<sockaddr *>(&own), sizeof own) != 0 || ::listen(fd, Backlog) != 0
+    if (bind(fd, reinterpret_cast<sockaddr *>(&own), sizeof own) != 0
+        || ::listen(fd, ListenBacklog) != 0
         || getsockname(fd, reinterpret_cast<sockaddr *>(&own), &size) != 0) {
         const std::string reason = std::strerror(errno);
         close(fd);
--- a/src/framedlink.h
+++ b/src/framedlink.h
@@ -1,5 +1,5 @@
-// A TCP connection between an entry and an agent that carries frames of messages. Messages of one
-// turn of the event loop leave in one write.
+// TCP connections between entries and agents, and among entries, that carry frames of messages
+// (dispatchcodec.h). Messages that are sent in one iteration of the event loop go into one frame.
 
 #pragma once
 
@@ -15,37 +15,50 @@
 
 namespace cactuscove {
 
+// Why a connection could not be begun or an address not be listened on.
 struct LinkError
 {
     std::string reason;
 };
 
+// One connection. Its owner destroys the object to close the connection; messages that are not sent
+// by then are lost.
 class FramedLink
 {
 public:
+    // All handlers are called by the event loop, never from inside a function of FramedLink.
     struct Handlers
     {
-        std::function<void()> onOpen; // a dialled connection is established; may be empty
+        // A dialled connection is established; not called for an adopted one. May be empty.
+        std::function<void()> onOpen;
+        // One frame has arrived.
         std::function<void(std::vector<PeerMessage> messages)> onMessages;
-        // The connection has ended by itself. The handler may destroy the link.
+        // The connection could not be established, or was closed by the peer, an error, an invalid
+        // frame or a peer that does not read. Called once, after all other handlers. It may
+        // destroy the link.
         std::function<void(std::string_view reason)> onClosed;
     };
 
-    // Dials "ip:port"; the outcome comes with onOpen or onClosed.
+    // Begins to connect to `address`, which is an IPv4 "ip:port". The outcome is reported by onOpen
+    // or onClosed. Fails if the address is malformed or no attempt can be made. There is no time
+    // limit: the owner destroys the link if it waits no longer.
     static Result<std::unique_ptr<FramedLink>, LinkError>
     dial(EventLoop &loop, std::string_view address, Handlers handlers);
-    // Takes over an accepted socket.
+    // Takes over an accepted, non-blocking socket, such as one from FramedListener.
     static std::unique_ptr<FramedLink> adopt(EventLoop &loop, int fd, Handlers handlers);
     ~FramedLink();
     FramedLink(const FramedLink &) = delete;
     FramedLink &operator=(const FramedLink &) = delete;
 
-    // Queues a message; flush() or the end of the turn sends it.
+    // Queues a message, also before the connection is established. It is sent by flush() or by the
+    // event loop in its next iteration. Messages on a failed connection are discarded.
     void send(PeerMessage message);
+    // Encodes the queued messages and writes as much as the socket takes; the rest follows later.
     void flush();
 
-    bool isOpen() const;
-    TimePoint sentAt() const; // steady clock, of the newest message
+    bool isOpen() const; // established and not failed
+    // When queued messages were last encoded by flush(), by EventLoop::now().
+    TimePoint sentAt() const;
 
 private:
     class Impl;
@@ -53,17 +66,20 @@
     std::unique_ptr<Impl> m_impl;
 };
 
+// Accepts connections on one address.
 class FramedListener
 {
 public:
-    // `onAccepted` owns the descriptor that it is given.
+    // Listens on `address`, which is an IPv4 "ip:port"; port 0 picks a free one. Calls `onAccepted`
+    // from the event loop with the socket of each connection, which it must close or pass to
+    // FramedLink::adopt(). Fails if the address is malformed or in use.
     static Result<std::unique_ptr<FramedListener>, LinkError>
     listen(EventLoop &loop, std::string_view address, std::function<void(int fd)> onAccepted);
     ~FramedListener();
     FramedListener(const FramedListener &) = delete;
     FramedListener &operator=(const FramedListener &) = delete;
 
-    std::string address() const; // with the port in use
+    std::string address() const; // "ip:port" with the port in use
 
 private:
     class Impl;
