--- a/src/dispatchprocess.cpp
+++ b/src/dispatchprocess.cpp
@@ -202,7 +202,7 @@
     settings.topic = platform::ownTopic(EntryAddressTopic);
     // Entries also send each other's addresses, so it does little harm if a dead connection to the
     // store is found late.
-    settings.wait = std::chrono::seconds(15);
+    settings.readWait = std::chrono::seconds(15);
     settings.stallTimeout = std::chrono::milliseconds(15500);
     settings.seed = m_incarnation.value;
     m_entryFollower = std::make_unique<StoreFollower>(
--- a/src/storefollower.cpp
+++ b/src/storefollower.cpp
@@ -1,4 +1,5 @@
-// One read at a time, one append at a time, pauses with jitter after failures.
+// There is at most one read and one append at a time. Failed ones are repeated after a delay with
+// jitter.
 
 #include "storefollower.h"
 
@@ -10,10 +11,11 @@
 
 using namespace std::chrono_literals;
 
-// All instances lose the store at once and must not come back at once.
-constexpr Duration ShortestPause = 60ms;
-constexpr Duration PauseSpread = 120ms;
-constexpr int MaxDoublings = 2; // of the spread, after repeated failures
+// Delay before a retry: the shortest one plus a random part. All instances lose the store at the
+// same time, and the jitter keeps them from retrying at the same time.
+constexpr Duration MinRetryDelay = 60ms;
+constexpr Duration RetryJitter = 120ms;
+constexpr int MaxJitterDoublings = 2; // the jitter doubles with each failure in a row, this often
 
 } // namespace
 
@@ -30,11 +32,11 @@
     m_readTimer.startIn({});
 }
 
-Duration StoreFollower::pause(int failuresBefore)
+Duration StoreFollower::retryDelay(int failuresBefore)
 {
-    const Duration spread = PauseSpread * (1 << std::min(failuresBefore, MaxDoublings));
+    const Duration spread = RetryJitter * (1 << std::min(failuresBefore, MaxJitterDoublings));
     std::uniform_int_distribution<Duration::rep> pick(0, spread.count());
-    return ShortestPause + Duration(pick(m_random));
+    return MinRetryDelay + Duration(pick(m_random));
 }
 
 void StoreFollower::setReachable(bool isReachable, const std::string &detail)
@@ -42,56 +44,58 @@
     if (m_isReachable == isReachable)
         return;
     m_isReachable = isReachable;
-    if (m_handlers.onReachable)
-        m_handlers.onReachable(isReachable, detail);
+    if (m_handlers.onReachabilityChanged)
+        m_handlers.onReachabilityChanged(isReachable, detail);
 }
 
 void StoreFollower::startRead()
 {
-    if (m_from)
-        readOn();
+    if (m_nextOffset)
+        readNext();
     else
         readNewest();
 }
 
 void StoreFollower::readNewest()
 {
-    m_http.start(platform::newestCall(m_settings.store, m_settings.topic, m_continueFrom,
+    m_http.start(platform::newestCall(m_settings.store, m_settings.topic, m_continueAfterKey,
                                       m_settings.stallTimeout),
                  [this](const platform::CallResult &result) {
                      const auto page = platform::parseNewest(result);
                      if (!isOk(page))
                          return onFailure(errorOf(page));
-                     if (m_continueFrom.empty())
-                         m_newestEnd = valueOf(page).next;
+                     if (m_continueAfterKey.empty())
+                         m_firstPageEnd = valueOf(page).next;
                      onPage(valueOf(page));
-                     m_continueFrom = valueOf(page).continueFrom;
-                     // Pages are no snapshot: what came meanwhile is read from the first end.
-                     if (m_continueFrom.empty())
-                         m_from = m_newestEnd;
+                     m_continueAfterKey = valueOf(page).continueFrom;
+                     // The pages are no snapshot. Records that were appended while the pages were
+                     // read come after the end that the first page reported.
+                     if (m_continueAfterKey.empty())
+                         m_nextOffset = m_firstPageEnd;
                      startRead();
                  });
 }
 
-void StoreFollower::readOn()
+void StoreFollower::readNext()
 {
-    m_http.start(platform::readCall(m_settings.store, m_settings.topic, *m_from, m_settings.wait,
-                                    m_settings.stallTimeout),
+    m_http.start(platform::readCall(m_settings.store, m_settings.topic, *m_nextOffset,
+                                    m_settings.readWait, m_settings.stallTimeout),
                  [this](const platform::CallResult &result) {
-                     const auto page = platform::parseRead(result, *m_from);
+                     const auto page = platform::parseRead(result, *m_nextOffset);
                      if (!isOk(page))
                          return onFailure(errorOf(page));
                      onPage(valueOf(page));
-                     m_from = valueOf(page).next;
+                     m_nextOffset = valueOf(page).next;
+                     // More records follow: skip to the newest of each key.
                      if (valueOf(page).end > valueOf(page).next)
-                         m_from.reset();
+                         m_nextOffset.reset();
                      startRead();
                  });
 }
 
 void StoreFollower::onPage(const platform::StorePage &page)
 {
-    m_failures = 0;
+    m_readFailures = 0;
     setReachable(true, {});
     for (const platform::StoreRecord &it : page.records)
         m_handlers.onRecord(it);
@@ -100,32 +104,32 @@
 void StoreFollower::onFailure(const platform::StoreError &error)
 {
     const bool isTrimmed = error.kind == platform::StoreFailure::Trimmed;
-    // Records that are gone, or that cannot be read at this offset, never will be read there.
+    // Reading at this offset again would fail again, because its records are gone or malformed.
     if (isTrimmed || error.kind == platform::StoreFailure::Malformed) {
-        m_from.reset();
-        m_continueFrom.clear();
+        m_nextOffset.reset();
+        m_continueAfterKey.clear();
     }
     if (isTrimmed)
         return m_readTimer.startIn({});
     setReachable(false, error.detail);
-    m_readTimer.startIn(pause(m_failures++));
+    m_readTimer.startIn(retryDelay(m_readFailures++));
 }
 
 void StoreFollower::publish(std::string key, std::string value)
 {
-    m_key = std::move(key);
-    m_value = std::move(value);
+    m_publishedKey = std::move(key);
+    m_publishedValue = std::move(value);
     startAppend();
 }
 
-// Every copy of the record says the same, so a repeat after a lost answer does no harm.
+// An append whose answer was lost is repeated: a second copy of the same record does no harm.
 void StoreFollower::startAppend()
 {
-    m_http.start(platform::appendCall(m_settings.store, m_settings.topic, m_key, m_value,
-                                      m_settings.appendTimeout),
+    m_http.start(platform::appendCall(m_settings.store, m_settings.topic, m_publishedKey,
+                                      m_publishedValue, m_settings.appendTimeout),
                  [this](const platform::CallResult &result) {
                      if (platform::parseAppend(result))
-                         m_appendTimer.startIn(pause(0));
+                         m_appendTimer.startIn(retryDelay(0));
                  });
 }
 
--- a/src/storefollower.h
+++ b/src/storefollower.h
@@ -1,9 +1,10 @@
-// Follows the newest records of one keyed topic in the platform's store by long reads. Also keeps
-// one record of the process's own there.
+// Follows one keyed topic in the platform's store: reads the newest record of each key, then new
+// records by long reads. Can also publish one record of this process in the topic.
 //
-// The link of an instance may carry a large record in seconds. So a read may take long as long as
-// it makes progress, a failed one goes on from what was received, and a reader that is behind skips
-// to the newest record of each key: older ones of that key would only delay it.
+// A large record may take seconds over the network link of an instance. Therefore a read may take
+// long while it makes progress, a read after a failure continues after the records that were
+// received, and a follower that is behind skips to the newest record of each key, as older records
+// of the key would only delay it.
 
 #pragma once
 
@@ -22,39 +23,50 @@
 struct StoreFollowerSettings
 {
     std::string store; // "ip:port"
-    std::string topic;
-    // A long read returns after this without a record. A shorter one finds a silent connection
-    // sooner.
-    Duration wait = std::chrono::milliseconds(700);
-    Duration stallTimeout = std::chrono::milliseconds(1000); // of a read, without any progress
-    Duration appendTimeout = std::chrono::milliseconds(1000);
-    std::uint64_t seed = 0; // of the jitter
+    std::string topic; // of platform::operatorTopic() or platform::ownTopic()
+    // The store ends a long read after this time if there is no new record. With a shorter time a
+    // dead connection is found sooner.
+    Duration readWait = std::chrono::milliseconds(700);
+    // A read of which nothing arrives for this long has failed. Must be longer than `readWait`.
+    Duration stallTimeout = std::chrono::milliseconds(1000);
+    Duration appendTimeout = std::chrono::milliseconds(1000); // of a whole append
+    std::uint64_t seed = 0; // of the jitter of retries; a different one in each process
 };
 
 class StoreFollower
 {
 public:
+    // Called from the event loop.
     struct Handlers
     {
+        // A record was read. The same record may be reported again, and a record that is followed
+        // by a newer one with the same key may be skipped.
         std::function<void(const platform::StoreRecord &record)> onRecord;
-        std::function<void(bool isReachable, const std::string &detail)> onReachable; // on changes
+        // The store was reached first, was lost or is reached again. `detail` is the error of the
+        // failed read, empty if the store is reachable. May be empty.
+        std::function<void(bool isReachable, const std::string &detail)> onReachabilityChanged;
     };
 
+    // Begins to read in the next iteration of `loop`. Failed reads are retried without limit.
+    // `loop` and `http` must outlive this object, and no call of `http` may end after its
+    // destruction.
     StoreFollower(EventLoop &loop, HttpClient &http, StoreFollowerSettings settings,
                   Handlers handlers);
 
-    // Appends until the store has taken it once.
+    // Appends a record to the topic and repeats the append until the store has acknowledged it
+    // once. To be called at most once.
     void publish(std::string key, std::string value);
 
 private:
     void startRead();
     void readNewest();
-    void readOn();
+    void readNext();
     void startAppend();
     void onPage(const platform::StorePage &page);
     void onFailure(const platform::StoreError &error);
     void setReachable(bool isReachable, const std::string &detail);
-    Duration pause(int failuresBefore);
+    // Returns the time until the next attempt after this many failures in a row.
+    Duration retryDelay(int failuresBefore);
 
     EventLoop &m_loop;
     HttpClient &m_http;
@@ -63,13 +75,14 @@
     std::minstd_rand m_random;
     Timer m_readTimer;
     Timer m_appendTimer;
-    int m_failures = 0;              // of reads, since the newest success
-    std::optional<LogOffset> m_from; // none: the newest record of each key is read first
-    LogOffset m_newestEnd;           // of the first page of newest records
-    std::string m_continueFrom;      // key after which the next page begins
-    std::optional<bool> m_isReachable;
-    std::string m_key;
-    std::string m_value;
+    int m_readFailures = 0; // in a row; 0 after a successful read
+    // Next offset to read. None: the newest record of each key is read first, in pages.
+    std::optional<LogOffset> m_nextOffset;
+    LogOffset m_firstPageEnd;          // end of the topic when the first page was read
+    std::string m_continueAfterKey;    // key after which the next page begins; empty: first page
+    std::optional<bool> m_isReachable; // none before the first read has ended
+    std::string m_publishedKey;        // of the published record
+    std::string m_publishedValue;      // of the published record
 };
 
 } // namespace cactuscove
