--- a/src/eventloop.cpp
+++ b/src/eventloop.cpp
@@ -1,4 +1,4 @@
-// libev behind callbacks; no other unit of the product includes ev.h.
+// Wraps libev. No other source file of the product includes ev.h.
 
 #include "eventloop.h"
 
@@ -17,7 +17,7 @@
         : loop(ev_loop_new(EVFLAG_AUTO))
     {
         ev_prepare_init(&m_prepare, [](struct ev_loop *, ev_prepare *it, int) {
-            static_cast<Impl *>(it->data)->endTurn();
+            static_cast<Impl *>(it->data)->onIterationEnd();
         });
         m_prepare.data = this;
         ev_prepare_start(loop, &m_prepare);
@@ -53,7 +53,7 @@
 
     struct ev_loop *loop;
     std::vector<std::function<void()>> posted;
-    std::vector<std::function<void()>> turnEnd;
+    std::vector<std::function<void()>> iterationEndTasks;
 
 private:
     struct SignalWatcher
@@ -62,13 +62,14 @@
         std::function<void()> task;
     };
 
-    void endTurn()
+    void onIterationEnd()
     {
         for (auto &it : std::exchange(posted, {}))
             it();
-        for (auto &it : turnEnd)
+        for (auto &it : iterationEndTasks)
             it();
-        // An idle watcher keeps libev from blocking while tasks are still posted.
+        // A task may have posted another one. The idle watcher keeps libev from blocking before
+        // that has run.
         if (posted.empty())
             ev_idle_stop(loop, &m_idle);
         else
@@ -104,7 +105,7 @@
 
 void EventLoop::atIterationEnd(std::function<void()> task)
 {
-    m_impl->turnEnd.push_back(std::move(task));
+    m_impl->iterationEndTasks.push_back(std::move(task));
 }
 
 void EventLoop::onSignal(int signal, std::function<void()> task)
@@ -156,16 +157,16 @@
 void Timer::startIn(Duration delay)
 {
     stop();
-    // The loop's cached time may be older than now by the length of the current turn.
-    ev_now_update(m_impl->loop.handle());
+    // libev counts the delay from its cached time, which is from the start of the iteration.
+    ev_now_update(m_impl->loop.libevLoop());
     const double seconds = std::chrono::duration<double>(std::max(delay, Duration::zero())).count();
     ev_timer_set(&m_impl->watcher, seconds, 0);
-    ev_timer_start(m_impl->loop.handle(), &m_impl->watcher);
+    ev_timer_start(m_impl->loop.libevLoop(), &m_impl->watcher);
 }
 
 void Timer::stop()
 {
-    ev_timer_stop(m_impl->loop.handle(), &m_impl->watcher);
+    ev_timer_stop(m_impl->loop.libevLoop(), &m_impl->watcher);
 }
 
 class IoWatcher::Impl
@@ -181,7 +182,7 @@
             [](struct ev_loop *, ev_io *it, int revents) {
                 const int events = (revents & EV_READ ? Readable : None)
                                    | (revents & EV_WRITE ? Writable : None);
-                // The task may destroy the watcher, so it runs from a copy.
+                // A copy, as the task may destroy the watcher.
                 const auto run = static_cast<Impl *>(it->data)->task;
                 run(events);
             },
@@ -206,12 +207,12 @@
 
 void IoWatcher::watch(int events)
 {
-    ev_io_stop(m_impl->loop.handle(), &m_impl->watcher);
+    ev_io_stop(m_impl->loop.libevLoop(), &m_impl->watcher);
     if (events == None)
         return;
     const int flags = (events & Readable ? EV_READ : 0) | (events & Writable ? EV_WRITE : 0);
     ev_io_set(&m_impl->watcher, m_impl->fd, flags);
-    ev_io_start(m_impl->loop.handle(), &m_impl->watcher);
+    ev_io_start(m_impl->loop.libevLoop(), &m_impl->watcher);
 }
 
 } // namespace cactuscove
