--- a/src/httpclient.cpp
+++ b/src/httpclient.cpp
@@ -1,4 +1,4 @@
-// libcurl's multi interface driven by the event loop.
+// libcurl asks for sockets to be watched and for one timer; the event loop reports back to it.
 
 #include "httpclient.h"
 
@@ -14,16 +14,17 @@
 
 namespace {
 
-constexpr long MaxCachedConnections = 512;
+constexpr long MaxCachedConnections = 512; // kept open for later calls
 
+// One call from start() until its callback.
 struct Transfer
 {
     HttpCallId id;
     HttpCall call;
     HttpClient::Callback callback;
     HttpReply reply;
-    std::size_t bodyRead = 0;
-    bool hasProgressed = false;        // since the stall timer was set
+    std::size_t bodyRead = 0;          // bytes of call.body that libcurl has taken
+    bool hasProgressed = false;        // part of the reply arrived since stallTimer was started
     std::unique_ptr<Timer> stallTimer; // none without a stall timeout
     CURL *easy = nullptr;
     curl_slist *headers = nullptr;
@@ -38,9 +39,10 @@
     }
 };
 
-// The body is read without a way to start over. So libcurl cannot send it a second time on another
-// connection when a reused one closes before the first response byte: the call ends as Broken.
-std::size_t readBody(char *buf, std::size_t size, std::size_t n, void *transfer)
+// libcurl reads the body through this function and cannot rewind it. So it cannot send the body
+// again on another connection if a reused one closes before the first byte of the reply: the call
+// ends as Broken.
+std::size_t readRequestBody(char *buf, std::size_t size, std::size_t n, void *transfer)
 {
     auto &it = *static_cast<Transfer *>(transfer);
     const std::size_t count = std::min(size * n, it.call.body.size() - it.bodyRead);
@@ -49,17 +51,17 @@
     return count;
 }
 
-std::size_t appendBody(char *data, std::size_t size, std::size_t n, void *transfer)
+std::size_t appendReplyBody(char *data, std::size_t size, std::size_t n, void *transfer)
 {
     auto &it = *static_cast<Transfer *>(transfer);
     if (it.reply.body.size() + size * n > it.call.maxReplyBytes)
-        return 0; // libcurl closes the connection
+        return 0; // too long: libcurl closes the connection and the call ends as Broken
     it.hasProgressed = true;
     it.reply.body.append(data, size * n);
     return size * n;
 }
 
-std::size_t appendHeader(char *data, std::size_t size, std::size_t n, void *transfer)
+std::size_t addReplyHeader(char *data, std::size_t size, std::size_t n, void *transfer)
 {
     const std::string_view line(data, size * n);
     const auto colon = line.find(':');
@@ -85,10 +87,11 @@
                           std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
 
-HttpCallError classify(CURL *easy, CURLcode code)
+HttpCallError toCallError(CURL *easy, CURLcode code)
 {
-    // A resend on a second connection can end with "could not connect" although the first
-    // connection delivered the request, so only the count of sent bytes proves non-delivery.
+    // libcurl may send a request again on a second connection, which can end with "could not
+    // connect" although the first connection delivered the request. So only the number of sent
+    // bytes proves that nothing was delivered.
     long sent = 0;
     curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &sent);
     HttpFailure kind = HttpFailure::Broken;
@@ -106,7 +109,7 @@
 public:
     explicit Impl(EventLoop &loop)
         : m_loop(loop)
-        , m_timer(loop, [this] { drive(CURL_SOCKET_TIMEOUT, 0); })
+        , m_timer(loop, [this] { performSocketAction(CURL_SOCKET_TIMEOUT, 0); })
         , m_multi(curl_multi_init())
     {
         curl_multi_setopt(m_multi, CURLMOPT_SOCKETFUNCTION, &Impl::onSocket);
@@ -136,7 +139,7 @@
     static int onTimer(CURLM *multi, long timeoutMs, void *self);
 
     void watchSocket(curl_socket_t fd, int what);
-    void drive(curl_socket_t fd, int flags);
+    void performSocketAction(curl_socket_t fd, int flags);
     void finishTransfers();
     void checkStall(HttpCallId id);
 
@@ -173,14 +176,14 @@
     auto &watcher = m_watchers[fd];
     if (!watcher)
         watcher = std::make_unique<IoWatcher>(m_loop, fd, [this, fd](int events) {
-            drive(fd, (events & IoWatcher::Readable ? CURL_CSELECT_IN : 0)
-                          | (events & IoWatcher::Writable ? CURL_CSELECT_OUT : 0));
+            performSocketAction(fd, (events & IoWatcher::Readable ? CURL_CSELECT_IN : 0)
+                                        | (events & IoWatcher::Writable ? CURL_CSELECT_OUT : 0));
         });
     watcher->watch((what & CURL_POLL_IN ? IoWatcher::Readable : IoWatcher::None)
                    | (what & CURL_POLL_OUT ? IoWatcher::Writable : IoWatcher::None));
 }
 
-void HttpClient::Impl::drive(curl_socket_t fd, int flags)
+void HttpClient::Impl::performSocketAction(curl_socket_t fd, int flags)
 {
     int running = 0;
     curl_multi_socket_action(m_multi, fd, flags, &running);
@@ -206,12 +209,12 @@
             transfer->reply.status = static_cast<int>(status);
             transfer->callback(std::move(transfer->reply));
         } else {
-            transfer->callback(classify(easy, code));
+            transfer->callback(toCallError(easy, code));
         }
     }
 }
 
-// Progress is looked at once per stall timeout, so a stall is found after one to two of them.
+// Runs once per stall timeout, so a stall is noticed after one to two stall timeouts.
 void HttpClient::Impl::checkStall(HttpCallId id)
 {
     const auto it = m_transfers.find(id);
@@ -222,8 +225,8 @@
         transfer.stallTimer->startIn(transfer.call.stallTimeout);
         return;
     }
-    HttpCallError error = classify(transfer.easy, CURLE_OPERATION_TIMEDOUT);
-    error.detail = "no progress";
+    HttpCallError error = toCallError(transfer.easy, CURLE_OPERATION_TIMEDOUT);
+    error.detail = "reply stalled";
     const auto node = m_transfers.extract(it);
     curl_multi_remove_handle(m_multi, node.mapped()->easy);
     node.mapped()->callback(std::move(error));
@@ -247,9 +250,9 @@
     curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, it.method.c_str());
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, milliseconds(it.timeout));
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, milliseconds(it.connectTimeout));
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &appendBody);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &appendReplyBody);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, transfer.get());
-    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, &appendHeader);
+    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, &addReplyHeader);
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, transfer.get());
     if (it.freshConnection) {
         curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
@@ -259,7 +262,7 @@
         curl_easy_setopt(easy, CURLOPT_POST, 1L);
         curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE_LARGE,
                          static_cast<curl_off_t>(it.body.size()));
-        curl_easy_setopt(easy, CURLOPT_READFUNCTION, &readBody);
+        curl_easy_setopt(easy, CURLOPT_READFUNCTION, &readRequestBody);
         curl_easy_setopt(easy, CURLOPT_READDATA, transfer.get());
         transfer->headers = curl_slist_append(transfer->headers, "Content-Type: application/json");
         // Without this, libcurl waits for "100 Continue" before it sends a larger body.
@@ -271,7 +274,7 @@
 
     const HttpCallId id = transfer->id;
     if (it.stallTimeout > Duration{}) {
-        // Posted, as a stalled transfer destroys its timer.
+        // Posted, because checkStall() may destroy the timer, whose task must not do that.
         transfer->stallTimer = std::make_unique<Timer>(
             m_loop, [this, id] { m_loop.post([this, id] { checkStall(id); }); });
         transfer->stallTimer->startIn(it.stallTimeout);
--- a/src/httpclient.h
+++ b/src/httpclient.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 client on the event loop (libcurl multi).
+// HTTP/1.1 client on the event loop, based on libcurl's multi interface. Keeps connections open for
+// later calls. Uses no TLS, proxy or redirect.
 
 #pragma once
 
@@ -13,23 +14,26 @@
 
 namespace cactuscove {
 
+// A request and the limits of its call.
 struct HttpCall
 {
     std::string method = "GET";
-    std::string url;
+    std::string url; // "http://ip:port/path?query"
     std::map<std::string, std::string> headers;
-    std::string body;
-    Duration timeout = std::chrono::seconds(2); // for the whole call
-    Duration connectTimeout = std::chrono::seconds(1);
-    // Longest pause between two pieces of the reply, and before its first one; 0: only `timeout`
-    // counts. A large reply on a slow link takes long but never pauses.
+    std::string body;                                  // sent with Content-Type application/json
+    Duration timeout = std::chrono::seconds(2);        // of the whole call
+    Duration connectTimeout = std::chrono::seconds(1); // of its first part, the connect
+    // Ends the call as TimedOut if nothing of the reply arrives for this long, which is noticed
+    // after at most twice the time; 0: only `timeout` counts. Suits large replies over slow
+    // links, which take long but arrive without pauses.
     Duration stallTimeout{};
-    // Uses a new connection and closes it afterwards. libcurl may resend a request when a reused
-    // connection closes before the first response byte; on a new connection it never does.
+    // Uses a new connection and closes it afterwards. libcurl may send a request a second time if a
+    // reused connection closes before the first byte of the reply; on a new one it never does.
     bool freshConnection = false;
-    std::size_t maxReplyBytes = 64 << 20; // a larger body ends the call as Broken
+    std::size_t maxReplyBytes = 64 << 20; // a reply with a larger body ends the call as Broken
 };
 
+// A complete reply, of any status.
 struct HttpReply
 {
     int status = 0;
@@ -37,16 +41,17 @@
     std::string body;
 };
 
+// Why there is no reply.
 enum class HttpFailure {
-    NotSent, // no byte of the request left this process: provably not delivered
-    TimedOut,
-    Broken, // the connection broke after at least one byte was sent
+    NotSent,  // no byte of the request left this process, so it was provably not delivered
+    TimedOut, // after at least one byte was sent
+    Broken,   // the connection closed, or the reply was invalid, after at least one byte was sent
 };
 
 struct HttpCallError
 {
     HttpFailure kind = HttpFailure::Broken;
-    std::string detail;
+    std::string detail; // for logs
 };
 
 using HttpCallId = StrongId<struct HttpCallIdTag>;
@@ -61,12 +66,14 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    // The callback runs from the loop, never from inside this call.
+    // Sends a request. `callback` runs once, from the event loop and never from inside start(),
+    // with the reply or the error. It does not run if this object is destroyed first.
     HttpCallId start(HttpCall call, Callback callback);
-    // Closes the call's connection; its callback does not run.
+    // Ends the call and closes its connection. The callback does not run. Does nothing if the call
+    // has ended.
     void cancel(HttpCallId id);
 
-    std::size_t openCalls() const;
+    std::size_t openCalls() const; // calls whose callback has not run
 
 private:
     class Impl;
