--- a/src/dispatchentry.cpp
+++ b/src/dispatchentry.cpp
@@ -60,7 +60,7 @@
     std::optional<StartupError> start()
     {
         HttpServerLimits limits;
-        limits.watchCallers = true;
+        limits.detectClientClose = true;
         auto callers = HttpServer::listen(
             m_loop, m_settings.callerAddress, limits,
             [this](RequestId id, const HttpRequest &request) { onCallerRequest(id, request); },
--- a/src/httpserver.cpp
+++ b/src/httpserver.cpp
@@ -1,4 +1,5 @@
-// libmicrohttpd in external epoll mode: its epoll descriptor is watched by the event loop.
+// libmicrohttpd without threads of its own: the event loop watches its epoll descriptor and runs
+// it.
 
 #include "httpserver.h"
 
@@ -22,9 +23,10 @@
 
 namespace {
 
-// Most clients read the response only after the whole body is sent, so a body over the limit is
-// read and dropped. One that is longer than this many times the limit is refused unread.
-constexpr std::size_t DrainFactor = 8;
+// Most clients read the response only after they have sent the whole body. So a body over the limit
+// is read and discarded before the response 413. A body that is announced to be longer than this
+// many times the limit is not read.
+constexpr std::size_t MaxDiscardFactor = 8;
 
 } // namespace
 
@@ -41,10 +43,10 @@
 
     ~Impl()
     {
-        m_stopping = true;
-        // The daemon must not be stopped while connections are suspended.
+        m_isStopping = true;
+        // libmicrohttpd must not be stopped while connections are suspended.
         for (auto &[id, exchange] : m_exchanges)
-            if (exchange->suspended)
+            if (exchange->isSuspended)
                 MHD_resume_connection(exchange->connection);
         m_watcher.reset();
         if (m_daemon)
@@ -60,23 +62,25 @@
     void stopAccepting();
 
     std::string ip;
-    std::uint16_t port = 0;
+    std::uint16_t port = 0; // in use
     std::size_t openRequests() const { return m_exchanges.size(); }
 
 private:
-    // One request from its first header to its last response byte.
+    // One request, from its headers to the last byte of its response.
     struct Exchange
     {
         RequestId id;
         MHD_Connection *connection = nullptr;
         HttpRequest request;
         std::optional<HttpResponse> response;
-        bool dispatched = false;
-        bool suspended = false;
-        bool tooLarge = false;
-        bool refuseUnread = false;
-        bool dropped = false;
-        std::unique_ptr<IoWatcher> callerWatcher; // while suspended
+        bool isDispatched = false;            // passed to the handler
+        bool isSuspended = false;             // its connection waits for an answer
+        bool isBodyTooLarge = false;          // the body is over the limit: answered with 413
+        bool isBodyUnread = false;            // the body is not read before the 413
+        bool isClosedWithoutResponse = false; // to be closed without a response
+        // Notices that the client closes the connection. Exists while the request is suspended, if
+        // the limits ask for it.
+        std::unique_ptr<IoWatcher> closeWatcher;
     };
 
     static MHD_Result onAccess(void *self, MHD_Connection *connection, const char *url,
@@ -89,11 +93,11 @@
 
     Exchange *beginExchange(MHD_Connection *connection, const char *url, const char *method);
     MHD_Result onBody(Exchange &exchange, const char *data, std::size_t *dataSize);
-    MHD_Result finish(Exchange &exchange);
+    MHD_Result handleCompleteRequest(Exchange &exchange);
     void runDaemon();
     void scheduleRun();
     void resume(Exchange &exchange);
-    void watchCaller(Exchange &exchange);
+    void watchForClose(Exchange &exchange);
 
     EventLoop &m_loop;
     HttpServerLimits m_limits;
@@ -104,9 +108,9 @@
     Timer m_timer;
     std::unordered_map<RequestId, std::unique_ptr<Exchange>> m_exchanges;
     std::uint64_t m_lastId = 0;
-    bool m_running = false;   // inside MHD_run
-    bool m_scheduled = false; // a run is posted
-    bool m_stopping = false;
+    bool m_isInMhdRun = false;  // inside MHD_run()
+    bool m_isRunPosted = false; // runDaemon() is posted
+    bool m_isStopping = false;  // inside the destructor
 };
 
 namespace {
@@ -124,7 +128,7 @@
     return MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd;
 }
 
-bool hasCallerLeft(MHD_Connection *connection)
+bool hasClientClosed(MHD_Connection *connection)
 {
     char byte = 0;
     const ssize_t n = recv(descriptorOf(connection), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -175,11 +179,11 @@
 
 void HttpServer::Impl::runDaemon()
 {
-    if (m_running)
+    if (m_isInMhdRun)
         return;
-    m_running = true;
+    m_isInMhdRun = true;
     MHD_run(m_daemon);
-    m_running = false;
+    m_isInMhdRun = false;
 
     MHD_UNSIGNED_LONG_LONG milliseconds = 0;
     if (MHD_get_timeout(m_daemon, &milliseconds) == MHD_YES)
@@ -188,14 +192,14 @@
         m_timer.stop();
 }
 
-// Resumed connections are not reported by epoll, so the daemon is run in the next turn.
+// epoll does not report resumed connections, so libmicrohttpd is run in the next iteration.
 void HttpServer::Impl::scheduleRun()
 {
-    if (m_scheduled)
+    if (m_isRunPosted)
         return;
-    m_scheduled = true;
+    m_isRunPosted = true;
     m_loop.post([this] {
-        m_scheduled = false;
+        m_isRunPosted = false;
         runDaemon();
     });
 }
@@ -220,8 +224,9 @@
         std::size_t bytes = 0;
         const std::string &text = length->second;
         const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), bytes);
-        exchange->tooLarge = ec != std::errc() || bytes > m_limits.maxBodyBytes;
-        exchange->refuseUnread = ec != std::errc() || bytes / DrainFactor > m_limits.maxBodyBytes;
+        exchange->isBodyTooLarge = ec != std::errc() || bytes > m_limits.maxBodyBytes;
+        exchange->isBodyUnread
+            = ec != std::errc() || bytes / MaxDiscardFactor > m_limits.maxBodyBytes;
     }
     return m_exchanges.emplace(exchange->id, std::move(exchange)).first->second.get();
 }
@@ -234,48 +239,49 @@
     if (!*state) {
         Exchange *begun = impl.beginExchange(connection, url, method);
         *state = begun;
-        return begun->refuseUnread ? impl.finish(*begun) : MHD_YES;
+        return begun->isBodyUnread ? impl.handleCompleteRequest(*begun) : MHD_YES;
     }
     auto &exchange = *static_cast<Exchange *>(*state);
     if (*dataSize > 0)
         return impl.onBody(exchange, data, dataSize);
-    return impl.finish(exchange);
+    return impl.handleCompleteRequest(exchange);
 }
 
 MHD_Result HttpServer::Impl::onBody(Exchange &exchange, const char *data, std::size_t *dataSize)
 {
     if (exchange.request.body.size() + *dataSize > m_limits.maxBodyBytes) {
-        exchange.tooLarge = true;
+        exchange.isBodyTooLarge = true;
         exchange.request.body.clear();
     }
-    if (!exchange.tooLarge)
+    if (!exchange.isBodyTooLarge)
         exchange.request.body.append(data, *dataSize);
     *dataSize = 0;
     return MHD_YES;
 }
 
-MHD_Result HttpServer::Impl::finish(Exchange &exchange)
+MHD_Result HttpServer::Impl::handleCompleteRequest(Exchange &exchange)
 {
-    if (m_stopping)
+    if (m_isStopping)
         return MHD_NO;
-    if (exchange.tooLarge && !exchange.response) {
+    if (exchange.isBodyTooLarge && !exchange.response) {
         exchange.response = HttpResponse{413, R"({"error":"body_too_large","limit":)"
                                                   + std::to_string(m_limits.maxBodyBytes) + "}\n"};
         exchange.response->headers["Connection"] = "close";
-    } else if (!exchange.dispatched) {
-        // After a suspension a request may be read whose caller has long left and asked elsewhere.
-        if (m_limits.watchCallers && hasCallerLeft(exchange.connection))
+    } else if (!exchange.isDispatched) {
+        // If the process was suspended, it may now read a request whose client has long closed the
+        // connection and sent the request to another server.
+        if (m_limits.detectClientClose && hasClientClosed(exchange.connection))
             return MHD_NO;
-        exchange.dispatched = true;
+        exchange.isDispatched = true;
         m_handler(exchange.id, std::move(exchange.request));
     }
-    if (exchange.dropped)
+    if (exchange.isClosedWithoutResponse)
         return MHD_NO;
     if (!exchange.response) {
-        exchange.suspended = true;
+        exchange.isSuspended = true;
         MHD_suspend_connection(exchange.connection);
-        if (m_limits.watchCallers)
-            watchCaller(exchange);
+        if (m_limits.detectClientClose)
+            watchForClose(exchange);
         return MHD_YES;
     }
 
@@ -298,10 +304,10 @@
         return;
     auto &impl = *static_cast<Impl *>(self);
     const RequestId id = static_cast<Exchange *>(*state)->id;
-    const bool dispatched = static_cast<Exchange *>(*state)->dispatched;
+    const bool isDispatched = static_cast<Exchange *>(*state)->isDispatched;
     *state = nullptr;
     impl.m_exchanges.erase(id);
-    if (dispatched && impl.m_onClosed && !impl.m_stopping)
+    if (isDispatched && impl.m_onClosed && !impl.m_isStopping)
         impl.m_onClosed(id);
 }
 
@@ -332,31 +338,33 @@
     const auto it = m_exchanges.find(id);
     if (it == m_exchanges.end() || it->second->response)
         return;
-    it->second->dropped = true;
+    it->second->isClosedWithoutResponse = true;
     resume(*it->second);
 }
 
 void HttpServer::Impl::resume(Exchange &exchange)
 {
-    if (!exchange.suspended)
-        return; // still inside the handler
-    exchange.suspended = false;
-    exchange.callerWatcher.reset();
+    if (!exchange.isSuspended)
+        return; // called by the handler: handleCompleteRequest() sends the response
+    exchange.isSuspended = false;
+    exchange.closeWatcher.reset();
     MHD_resume_connection(exchange.connection);
     scheduleRun();
 }
 
-// The daemon does not look at a suspended connection.
-void HttpServer::Impl::watchCaller(Exchange &exchange)
+// libmicrohttpd does not watch a suspended connection, so it is watched here. Data that arrives,
+// such as a pipelined request, ends that: the socket stays readable, and a later close cannot be
+// told from the data.
+void HttpServer::Impl::watchForClose(Exchange &exchange)
 {
-    exchange.callerWatcher = std::make_unique<IoWatcher>(
+    exchange.closeWatcher = std::make_unique<IoWatcher>(
         m_loop, descriptorOf(exchange.connection), [this, &exchange](int) {
-            if (hasCallerLeft(exchange.connection))
+            if (hasClientClosed(exchange.connection))
                 closeWithoutResponse(exchange.id);
             else
-                exchange.callerWatcher->watch(IoWatcher::None);
+                exchange.closeWatcher->watch(IoWatcher::None);
         });
-    exchange.callerWatcher->watch(IoWatcher::Readable);
+    exchange.closeWatcher->watch(IoWatcher::Readable);
 }
 
 void HttpServer::Impl::stopAccepting()
--- a/src/httpserver.h
+++ b/src/httpserver.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 server on the event loop (libmicrohttpd). Requests may be answered later.
+// HTTP/1.1 server on the event loop, based on libmicrohttpd. A request may be answered at any time
+// after its handler has returned.
 
 #pragma once
 
@@ -14,7 +15,7 @@
 
 namespace cactuscove {
 
-using RequestId = StrongId<struct RequestIdTag>;
+using RequestId = StrongId<struct RequestIdTag>; // unique within one HttpServer
 
 struct HttpRequest
 {
@@ -23,7 +24,7 @@
     std::map<std::string, std::string> query;
     std::map<std::string, std::string> headers; // names in lower case
     std::string body;
-    bool isFirstOnConnection = true; // stand-ins close reused connections in tests
+    bool isFirstOnConnection = true; // for tests of clients that reuse a connection
 };
 
 struct HttpResponse
@@ -36,41 +37,46 @@
 
 struct HttpServerLimits
 {
-    std::size_t maxBodyBytes = 4 << 20;   // a larger body gets 413
-    std::chrono::seconds idleTimeout{15}; // closes slow and half-open connections
+    std::size_t maxBodyBytes = 4 << 20; // a larger body gets 413
+    // A connection without traffic for this long is closed, unless its request waits for respond().
+    std::chrono::seconds idleTimeout{15};
     unsigned maxConnections = 4096;
-    // Ends a request as soon as its caller closes the connection. Otherwise that shows only when
-    // the response is written.
-    bool watchCallers = false;
+    // Ends a request as soon as its client closes the connection. Otherwise that is noticed only
+    // when the response is written.
+    bool detectClientClose = false;
 };
 
+// Why the server cannot listen.
 struct HttpServerError
 {
-    std::string reason;
+    std::string reason; // with the address
 };
 
+// All handlers are called from the event loop.
 class HttpServer
 {
 public:
     using Handler = std::function<void(RequestId id, HttpRequest request)>;
     using ClosedHandler = std::function<void(RequestId id)>;
 
-    // `address` is "ip:port"; port 0 picks a free one. The handler may call respond() at once or
-    // later. `onClosed` is told when a request ends, answered or not; it may be empty.
+    // Listens on `address`, which is an IPv4 "ip:port"; port 0 picks a free one. Fails if the
+    // address is malformed or cannot be listened on. `handler` is called with each complete request
+    // and may call respond() at once or later. `onClosed` is called when such a request has ended,
+    // answered or not; it may be empty.
     static Result<std::unique_ptr<HttpServer>, HttpServerError>
     listen(EventLoop &loop, std::string_view address, HttpServerLimits limits, Handler handler,
            ClosedHandler onClosed = {});
-    ~HttpServer();
+    ~HttpServer(); // closes all connections without calling onClosed
 
-    // Does nothing if the request has ended.
+    // Sends the response of a request. Does nothing if the request has ended or was answered.
     void respond(RequestId id, HttpResponse response);
-    // Closes the connection without a response. Stand-ins use it to lose replies.
+    // Closes the connection of a request without a response. Test servers use it to lose replies.
     void closeWithoutResponse(RequestId id);
-    // Stops accepting connections; open ones are served on.
+    // Closes the listening socket. Open connections are still served.
     void stopAccepting();
 
-    std::string address() const;      // with the port in use
-    std::size_t openRequests() const; // received and not fully answered
+    std::string address() const;      // "ip:port" with the port in use
+    std::size_t openRequests() const; // begun to arrive and not fully answered
 
 private:
     class Impl;
