--- a/src/eventlog.cpp
+++ b/src/eventlog.cpp
@@ -1,4 +1,4 @@
-// Lines of key=value pairs; poll() before each write tells how much the reader takes.
+// The descriptor may be a blocking one, so poll() is asked before each write.
 
 #include "eventlog.h"
 
@@ -15,6 +15,7 @@
 
 namespace {
 
+// Returns the current UTC time in ISO 8601 with milliseconds.
 std::string timeStamp()
 {
     timespec ts{};
@@ -46,7 +47,7 @@
 EventLog::EventLog(EventLoop &loop, std::string_view role, std::string_view instance, int fd,
                    EventLogLimits limits)
     : m_loop(loop)
-    , m_common(' ' + formatField("role", role) + ' ' + formatField("instance", instance))
+    , m_commonFields(' ' + formatField("role", role) + ' ' + formatField("instance", instance))
     , m_fd(fd)
     , m_limits(limits)
 {}
@@ -55,20 +56,20 @@
 {
     const std::int64_t second
         = std::chrono::duration_cast<std::chrono::seconds>(m_loop.now().time_since_epoch()).count();
-    auto it = m_budgets.find(event.name);
-    if (it == m_budgets.end())
-        it = m_budgets.emplace(event.name, Budget()).first;
-    Budget &budget = it->second;
-    if (budget.second != second) {
-        if (budget.leftOut > 0)
+    auto it = m_eventCounts.find(event.name);
+    if (it == m_eventCounts.end())
+        it = m_eventCounts.emplace(event.name, EventCount()).first;
+    EventCount &count = it->second;
+    if (count.second != second) {
+        if (count.droppedEvents > 0)
             append({Severity::Warning,
                     "events_left_out",
-                    {{"kind", event.name}, {"count", std::to_string(budget.leftOut)}}});
-        budget = {second, 0, 0};
+                    {{"kind", event.name}, {"count", std::to_string(count.droppedEvents)}}});
+        count = {second, 0, 0};
     }
-    if (++budget.lines > m_limits.linesPerSecond || m_buffer.size() > m_limits.bufferBytes) {
-        ++budget.leftOut;
-        ++m_leftOut;
+    if (++count.lines > m_limits.linesPerSecond || m_buffer.size() > m_limits.bufferBytes) {
+        ++count.droppedEvents;
+        ++m_droppedEvents;
         return;
     }
     append(event);
@@ -89,7 +90,7 @@
     m_buffer += nameOf(event.severity);
     m_buffer += ' ';
     m_buffer += formatField("event", event.name);
-    m_buffer += m_common;
+    m_buffer += m_commonFields;
     for (const auto &[name, value] : event.fields) {
         m_buffer += ' ';
         m_buffer += formatField(name, value);
@@ -102,7 +103,7 @@
     while (!m_buffer.empty()) {
         pollfd it{m_fd, POLLOUT, 0};
         if (poll(&it, 1, 0) != 1 || !(it.revents & POLLOUT))
-            return; // tried again with the next line
+            return; // retried with the next line
         // A pipe that is ready for output takes this many bytes without blocking.
         const ssize_t n
             = ::write(m_fd, m_buffer.data(), std::min<std::size_t>(m_buffer.size(), PIPE_BUF));
--- a/tests/eventlog_test.cpp
+++ b/tests/eventlog_test.cpp
@@ -63,7 +63,7 @@
     const std::string text = readAll();
     EXPECT_LE(std::count(text.begin(), text.end(), '\n'), 12);
     EXPECT_NE(text.find("config_in_force"), std::string::npos);
-    EXPECT_GE(log.leftOut(), 40u);
+    EXPECT_GE(log.droppedEvents(), 40u);
 }
 
 // A reader that stands still must not stop the process.
@@ -74,7 +74,7 @@
         log.write({Severity::Info, "task_ended", {{"text", std::string(100, 'x')}}});
         log.flush();
     }
-    EXPECT_GT(log.leftOut(), 0u);
+    EXPECT_GT(log.droppedEvents(), 0u);
 }
 
 } // namespace cactuscove
