--- a/src/address.cpp
+++ b/src/address.cpp
@@ -1,4 +1,4 @@
-// Parsing of addresses.
+// Parses the port itself and leaves the ip to inet_pton().
 
 #include "address.h"
 
--- a/src/address.h
+++ b/src/address.h
@@ -1,4 +1,4 @@
-// Addresses as "ip:port".
+// Parses network addresses that are written as "ip:port".
 
 #pragma once
 
@@ -10,11 +10,15 @@
 
 namespace cactuscove {
 
-// Splits "ip:port"; the port must be a number from 0 to 65535. The ip is not checked.
+// Splits "ip:port" at the last colon into `ip` and `port`. Returns false if there is no colon, the
+// ip is empty or the port is not a number from 0 to 65535; `ip` and `port` may be changed then too.
+// The ip is not checked.
 bool splitAddress(std::string_view address, std::string &ip, std::uint16_t &port);
-bool isAddress(std::string_view address); // splitAddress() would succeed
+// Returns whether splitAddress() accepts `address`.
+bool isAddress(std::string_view address);
 
-// False unless the ip is one of IPv4.
+// Converts "ip:port" to `out`. Returns false if the port is not valid or the ip is not an IPv4
+// address.
 bool toSockaddr(std::string_view address, sockaddr_in &out);
 
 } // namespace cactuscove
