--- a/src/dispatchagent.cpp
+++ b/src/dispatchagent.cpp
@@ -20,17 +20,17 @@
 using namespace std::chrono_literals;
 
 // Shortest time between two reports of the workers' loads to the entries. Loads change with each
-// start and end of a task. While all workers have much room left, entries can place tasks by older
-// figures.
+// start and end of a task. While all workers have much capacity left, entries can place tasks by
+// older figures.
 constexpr Duration NearlyFullLoadInterval = 5ms;
-constexpr Duration SpareRoomLoadInterval = 25ms;
-// When an entry's start is announced, a connection attempt that is older than this is begun anew:
-// it may be from before the start and is then never answered.
+constexpr Duration SpareCapacityLoadInterval = 25ms;
+// When the start of an entry's process is announced, a connection attempt that is older than this
+// is replaced: it may be from before the start and is then never answered.
 constexpr Duration MaxDialAgeAtEntryStart = 50ms;
-// A dialled connection that is not open, with the entry's hello received, after this long is
-// abandoned: its packets were lost or the network path is cut.
+// A connection attempt is abandoned if the entry's hello has not arrived after this long: its
+// packets were lost or the network path is cut.
 constexpr Duration DialTimeout = 300ms;
-// Time after which an entry that was told that the worker is gone sends no more tasks to it.
+// After an entry was told that the worker is gone, tasks from it may still arrive for this long.
 constexpr Duration ReleaseDelay = 500ms;
 // Safety margin between the latest end of a lost job's tasks and the earliest time at which its
 // caller submits the job again. Covers calls that are under way and a worker's slow clock.
@@ -73,7 +73,7 @@
     {
         std::unique_ptr<FramedLink> link; // none while closed
         TimePoint dialledAt{};
-        TimePoint heardAt{};                  // newest message, or the dial
+        TimePoint lastMessageAt{};            // or dialledAt before the first message
         TimePoint releasingSince = NeverTime; // when the entry was told that the worker is gone
         std::optional<PeerHello> entry;       // its hello; none until that arrives
         std::vector<std::string> orphanFreeWorkers; // as sent last
@@ -87,10 +87,10 @@
     {
         TaskRunnerSettings settings;
         const Duration spare
-            = m_settings.resubmitPause - m_settings.stopTime - ResubmitSafetyMargin;
+            = m_settings.resubmitDelay - m_settings.maxStopTime - ResubmitSafetyMargin;
         settings.entryTimeout = std::min<Duration>(settings.entryTimeout, spare / 2);
         settings.leaseTime = std::min(
-            {settings.leaseTime, m_settings.leaseTime, Duration(spare - settings.entryTimeout)});
+            {settings.leaseTime, m_settings.maxLeaseTime, Duration(spare - settings.entryTimeout)});
         return settings;
     }
 
@@ -107,19 +107,20 @@
 
     Duration loadInterval() const
     {
-        return m_runner.isNearlyFull() ? NearlyFullLoadInterval : SpareRoomLoadInterval;
+        return m_runner.isNearlyFull() ? NearlyFullLoadInterval : SpareCapacityLoadInterval;
     }
 
     // Sends a call to the worker and passes its parsed reply to TaskRunner::*onReply. `kind` is the
     // value of the label "call" in the metrics.
-    template <typename Order, typename Reply>
-    void
-    callWorker(const char *kind, const Order &order, Reply (*parse)(const platform::CallResult &),
-               void (TaskRunner::*onReply)(WorkerCallId, const Reply &, TimePoint, RunnerOutbox &))
+    template <typename Command, typename Reply>
+    void callWorker(const char *kind, const Command &command,
+                    Reply (*parse)(const platform::CallResult &),
+                    void (TaskRunner::*onReply)(WorkerCallId, const Reply &, TimePoint,
+                                                RunnerOutbox &))
     {
         m_metrics.add("cactuscove_worker_calls_total", {{"call", kind}});
-        m_http.start(platform::callOf(order), [this, call = order.call, parse,
-                                               onReply](const platform::CallResult &result) {
+        m_http.start(platform::makeCall(command), [this, call = command.call, parse,
+                                                   onReply](const platform::CallResult &result) {
             m_decisions.step([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
                 (runner.*onReply)(call, parse(result), now, out);
             });
@@ -157,15 +158,15 @@
 
     void onWorkerRequest(RequestId id, const HttpRequest &request)
     {
-        const auto news = platform::parseWorkerNews(request);
-        if (!isOk(news)) {
-            const auto &error = errorOf(news);
+        const auto report = platform::parseWorkerReport(request);
+        if (!isOk(report)) {
+            const auto &error = errorOf(report);
             log({Severity::Warning,
                  "heartbeat_refused",
                  {{"path", request.path}, {"reason", error.reason}}});
             return m_server->respond(id, {error.status, "{}"});
         }
-        const platform::WorkerNews &it = valueOf(news);
+        const platform::WorkerReport &it = valueOf(report);
         m_decisions.step([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
             if (it.info)
                 runner.onWorkerInfo(*it.info, now, out);
@@ -211,7 +212,7 @@
         it.entry.reset();
         it.link.reset();
         it.releasingSince = NeverTime;
-        it.dialledAt = it.heardAt = bootNow();
+        it.dialledAt = it.lastMessageAt = bootNow();
         m_selection.dialled(address, it.dialledAt);
         auto link = FramedLink::dial(
             m_loop, address,
@@ -239,7 +240,7 @@
                  {{"entry", it.entry->name},
                   {"address", address},
                   {"reason", std::string(reason)},
-                  {"heard_ms", std::to_string((bootNow() - it.heardAt) / 1ms)}}});
+                  {"heard_ms", std::to_string((bootNow() - it.lastMessageAt) / 1ms)}}});
         it.entry.reset();
         it.link.reset();
         it.releasingSince = NeverTime;
@@ -247,9 +248,9 @@
         connectEntries();
     }
 
-    // Closes surplus connections. First tells the entry that the workers are gone, so that it
+    // Closes surplus connections. First reports to the entry that the workers are gone, so that it
     // assigns no more tasks, and closes the connection once the entry's tasks have ended. Reports
-    // the workers again to an entry that is no longer surplus.
+    // the workers as present to an entry that is no longer surplus.
     void releaseEntries(const std::vector<std::string> &surplus)
     {
         const TimePoint now = bootNow();
@@ -281,7 +282,7 @@
     void onMessages(const std::string &address, EntryConnection &it,
                     const std::vector<PeerMessage> &messages)
     {
-        it.heardAt = bootNow();
+        it.lastMessageAt = bootNow();
         m_decisions.step([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
             if (it.entry)
                 runner.onEntryHeard(it.entry->instance, now, out);
@@ -361,11 +362,11 @@
 
     PeerHeartbeat makeHeartbeat() const
     {
-        const auto heard
+        const auto connectedEntries
             = std::count_if(m_connections.begin(), m_connections.end(), [](const auto &connection) {
                   return connection.second.entry && !isReleasing(connection.second);
               });
-        return {bootNow(), static_cast<std::uint32_t>(heard)};
+        return {bootNow(), static_cast<std::uint32_t>(connectedEntries)};
     }
 
     void onHeartbeatTick()
@@ -376,7 +377,7 @@
         for (auto &[address, it] : m_connections) {
             if (!it.link)
                 continue;
-            if (it.entry && now - it.heardAt > LinkSilenceTimeout)
+            if (it.entry && now - it.lastMessageAt > LinkSilenceTimeout)
                 onClosed(address, it, "silent");
             else if (!it.entry && now - it.dialledAt > DialTimeout)
                 onClosed(address, it, "not open in time");
@@ -394,8 +395,8 @@
         m_decisions.step(
             [](TaskRunner &runner, TimePoint, RunnerOutbox &out) { runner.beginShutdown(out); });
         if (m_runner.openTasks() > 0)
-            m_shutdownTimer.startIn(
-                std::chrono::duration_cast<Duration>(m_settings.shutdownTime * DrainTimeFraction));
+            m_shutdownTimer.startIn(std::chrono::duration_cast<Duration>(
+                m_settings.shutdownGracePeriod * DrainTimeFraction));
     }
 
     std::string metricsText() override
--- a/src/dispatchentry.cpp
+++ b/src/dispatchentry.cpp
@@ -97,18 +97,19 @@
     {
         std::unique_ptr<FramedLink> link;
         std::string dialled;           // address; empty for an accepted connection
-        TimePoint heardAt{};           // newest message, or begin of the connection
+        TimePoint lastMessageAt{};     // or when the connection was begun
         std::optional<PeerHello> peer; // none until the peer's hello arrives
     };
 
     using LinkId = std::uint64_t;
 
-    // A task that an agent was told to start has ended this long after the agent was last heard.
+    // Returns the time after an agent's last message by which all tasks that were assigned to it
+    // have ended.
     static Duration lostAgentTimeout(const platform::PlatformSettings &settings)
     {
         // The lease runs on the worker's clock, which may be 2% slow. The worker then needs up to
         // the stop time to end the run, and the 700 ms are for calls that are under way.
-        return settings.leaseTime + settings.leaseTime / 50 + settings.stopTime + 700ms;
+        return settings.maxLeaseTime + settings.maxLeaseTime / 50 + settings.maxStopTime + 700ms;
     }
 
     void perform(AnswerJob &effect)
@@ -177,7 +178,7 @@
         valueOf(job).queue = match.queue->name;
         m_arrivalTimes[id] = bootNow();
         const Duration timeout
-            = platform::callerPatience(request).value_or(defaultCallerTimeout(*match.queue));
+            = platform::callerTimeout(request).value_or(defaultCallerTimeout(*match.queue));
         m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
             dispatcher.submit(CallerId{id.value}, std::move(valueOf(job)), timeout, now, out);
         });
@@ -194,7 +195,7 @@
 
     void onReadinessRequest(RequestId id, const HttpRequest &request)
     {
-        if (!platform::isReadinessRequest(request))
+        if (!platform::isReadinessCheck(request))
             return m_readinessServer->respond(id, {404, "{}"});
         const bool isReady = !m_isShuttingDown && m_dispatcher.config().version != 0
                              && m_dispatcher.workers().connectedAgents() > 0;
@@ -272,7 +273,7 @@
     {
         const LinkId id = ++m_lastLink;
         Link &it = m_links[id];
-        it.heardAt = bootNow();
+        it.lastMessageAt = bootNow();
         it.link = FramedLink::adopt(m_loop, fd, makeHandlers(id));
         sendHello(it);
     }
@@ -305,7 +306,7 @@
         m_newStarts.starts.clear();
     }
 
-    // Passes on the start of another entry's process the first time that it is heard of.
+    // Passes on the start of another entry's process the first time that it is reported.
     void onEntryStarted(const EntryStart &start)
     {
         if (start.instance == m_incarnation || !m_seenEntryProcesses.insert(start.instance).second)
@@ -334,7 +335,7 @@
         if (!isOk(link))
             return m_selection.closed(address, now);
         Link &it = m_links[id];
-        it.heardAt = now;
+        it.lastMessageAt = now;
         it.dialled = address;
         it.link = std::move(valueOf(link));
     }
@@ -345,7 +346,7 @@
         if (it == m_links.end())
             return;
         const std::optional<PeerHello> peer = it->second.peer;
-        const TimePoint heardAt = it->second.heardAt;
+        const TimePoint lastMessageAt = it->second.lastMessageAt;
         if (!it->second.dialled.empty())
             m_selection.closed(it->second.dialled, bootNow());
         m_links.erase(it);
@@ -356,7 +357,7 @@
              {{"name", peer->name},
               {"incarnation", std::to_string(peer->instance.value)},
               {"reason", std::string(reason)},
-              {"heard_ms", std::to_string((bootNow() - heardAt) / 1ms)}}});
+              {"heard_ms", std::to_string((bootNow() - lastMessageAt) / 1ms)}}});
         const auto agent = m_agentLinks.find(peer->instance);
         if (agent == m_agentLinks.end() || agent->second != id)
             return; // the agent has opened a newer connection
@@ -369,7 +370,7 @@
     void onMessages(LinkId id, const std::vector<PeerMessage> &messages)
     {
         Link &it = m_links.at(id);
-        it.heardAt = bootNow();
+        it.lastMessageAt = bootNow();
         m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
             for (const PeerMessage &message : messages) {
                 if (const auto *hello = std::get_if<PeerHello>(&message))
@@ -418,7 +419,7 @@
         std::vector<LinkId> silent;
         for (auto &[id, it] : m_links) {
             const bool isEntry = it.peer && it.peer->role == Role::Entry;
-            if (now - it.heardAt > (isEntry ? EntryLinkTimeout : LinkTimeout))
+            if (now - it.lastMessageAt > (isEntry ? EntryLinkTimeout : LinkTimeout))
                 silent.push_back(id);
             else if (it.link->isOpen()
                      && (isEntry ? isEntryHeartbeatDue : isHeartbeatDue(*it.link)))
@@ -442,7 +443,8 @@
 
     void beginShutdown() override
     {
-        m_refuseTimer.startIn(std::min(AcceptAfterShutdownSignal, m_settings.shutdownTime / 2));
+        m_refuseTimer.startIn(
+            std::min(AcceptAfterShutdownSignal, m_settings.shutdownGracePeriod / 2));
     }
 
     void refuseNewJobs()
--- a/src/dispatchprocess.cpp
+++ b/src/dispatchprocess.cpp
@@ -56,7 +56,7 @@
 std::variant<LoadedSettings, ExitStatus> parseFlags(Role role, const std::string &program,
                                                     std::span<const std::string> arguments)
 {
-    const char *variable = std::getenv(platform::SettingsVariable);
+    const char *variable = std::getenv(platform::SettingsPathVariable);
     LoadedSettings loaded;
     po::options_description options(program + " [flags]\n\nFlags");
     auto add = options.add_options();
@@ -162,8 +162,8 @@
          {{"version", std::string(version())},
           {"incarnation", std::to_string(m_incarnation.value)},
           {"data_centre", m_settings.dataCentre},
-          {"seeds", std::to_string(m_settings.seedLinks.size())}}});
-    for (const std::string &it : m_settings.seedLinks)
+          {"seeds", std::to_string(m_settings.seedLinkAddresses.size())}}});
+    for (const std::string &it : m_settings.seedLinkAddresses)
         addEntryAddress(it, "settings");
     m_loop.run();
     log({Severity::Info, "process_stopped", {}});
@@ -181,8 +181,8 @@
         return;
     }
     log({Severity::Info, "settings_reloaded", {{"path", m_settingsPath}}});
-    m_settings.seedLinks = valueOf(settings).seedLinks;
-    for (const std::string &it : m_settings.seedLinks)
+    m_settings.seedLinkAddresses = valueOf(settings).seedLinkAddresses;
+    for (const std::string &it : m_settings.seedLinkAddresses)
         addEntryAddress(it, "settings");
 }
 
@@ -199,9 +199,9 @@
 {
     StoreFollowerSettings settings;
     settings.store = m_settings.storeAddress;
-    settings.topic = platform::ownTopic(EntryAddressTopic);
-    // Entries also send each other's addresses, so it does little harm if a dead connection to the
-    // store is found late.
+    settings.topic = platform::productTopic(EntryAddressTopic);
+    // Entries also send each other's addresses, so it does little harm if a broken connection to
+    // the store is found late.
     settings.readWait = std::chrono::seconds(15);
     settings.stallTimeout = std::chrono::milliseconds(15500);
     settings.seed = m_incarnation.value;
--- a/src/storefollower.cpp
+++ b/src/storefollower.cpp
@@ -58,8 +58,8 @@
 
 void StoreFollower::readNewest()
 {
-    m_http.start(platform::newestCall(m_settings.store, m_settings.topic, m_continueAfterKey,
-                                      m_settings.stallTimeout),
+    m_http.start(platform::makeNewestCall(m_settings.store, m_settings.topic, m_continueAfterKey,
+                                          m_settings.stallTimeout),
                  [this](const platform::CallResult &result) {
                      const auto page = platform::parseNewest(result);
                      if (!isOk(page))
@@ -67,7 +67,7 @@
                      if (m_continueAfterKey.empty())
                          m_firstPageEnd = valueOf(page).next;
                      onPage(valueOf(page));
-                     m_continueAfterKey = valueOf(page).continueFrom;
+                     m_continueAfterKey = valueOf(page).continueAfterKey;
                      // The pages are no snapshot. Records that were appended while the pages were
                      // read come after the end that the first page reported.
                      if (m_continueAfterKey.empty())
@@ -78,8 +78,8 @@
 
 void StoreFollower::readNext()
 {
-    m_http.start(platform::readCall(m_settings.store, m_settings.topic, *m_nextOffset,
-                                    m_settings.readWait, m_settings.stallTimeout),
+    m_http.start(platform::makeReadCall(m_settings.store, m_settings.topic, *m_nextOffset,
+                                        m_settings.readWait, m_settings.stallTimeout),
                  [this](const platform::CallResult &result) {
                      const auto page = platform::parseRead(result, *m_nextOffset);
                      if (!isOk(page))
@@ -125,8 +125,8 @@
 // An append whose answer was lost is repeated: a second copy of the same record does no harm.
 void StoreFollower::startAppend()
 {
-    m_http.start(platform::appendCall(m_settings.store, m_settings.topic, m_publishedKey,
-                                      m_publishedValue, m_settings.appendTimeout),
+    m_http.start(platform::makeAppendCall(m_settings.store, m_settings.topic, m_publishedKey,
+                                          m_publishedValue, m_settings.appendTimeout),
                  [this](const platform::CallResult &result) {
                      if (platform::parseAppend(result))
                          m_appendTimer.startIn(retryDelay(0));
--- a/src/storefollower.h
+++ b/src/storefollower.h
@@ -23,9 +23,9 @@
 struct StoreFollowerSettings
 {
     std::string store; // "ip:port"
-    std::string topic; // of platform::operatorTopic() or platform::ownTopic()
+    std::string topic; // named by platform::operatorTopic() or productTopic()
     // The store ends a long read after this time if there is no new record. With a shorter time a
-    // dead connection is found sooner.
+    // broken connection is found sooner.
     Duration readWait = std::chrono::milliseconds(700);
     // A read of which nothing arrives for this long has failed. Must be longer than `readWait`.
     Duration stallTimeout = std::chrono::milliseconds(1000);
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -67,9 +67,9 @@
     ASSERT_TRUE(isOk(settings)) << errorOf(settings).lines.front();
     EXPECT_EQ(valueOf(settings).callerAddress, "10.1.0.13:8161");
     EXPECT_EQ(valueOf(settings).linkAddress, "10.1.0.13:7720");
-    EXPECT_EQ(valueOf(settings).seedLinks,
+    EXPECT_EQ(valueOf(settings).seedLinkAddresses,
               (std::vector<std::string>{"10.1.0.13:7720", "10.2.0.30:7720"}));
-    EXPECT_EQ(valueOf(settings).shutdownTime, 6s);
+    EXPECT_EQ(valueOf(settings).shutdownGracePeriod, 6s);
 }
 
 // Guards against an operator who mends one mistake a start.
@@ -126,11 +126,11 @@
 
 TEST(PlatformWorkers, AHeartbeatIsDecoded)
 {
-    const auto news = parseWorkerNews(heartbeat(
+    const auto report = parseWorkerReport(heartbeat(
         R"({"service":"s","address":"10.0.0.9:80","zone":"z","state":"draining","seq_num":4,)"
         R"("capacity":{"cpu":16000,"mem_mb":32768,"gpu":0},"labels":["a","r1-3"],"born":1788269136761})"));
-    ASSERT_TRUE(isOk(news)) << errorOf(news).reason;
-    const WorkerInfo &info = *valueOf(news).info;
+    ASSERT_TRUE(isOk(report)) << errorOf(report).reason;
+    const WorkerInfo &info = *valueOf(report).info;
     EXPECT_EQ(info.id, "i-7f");
     EXPECT_TRUE(info.isDraining);
     EXPECT_EQ(info.capacity.cpuMillis, 16000);
@@ -147,22 +147,22 @@
          R"({"service":"s","address":"nowhere","zone":"z","state":"ready","seq_num":4,"capacity":{"cpu":1}})",
          R"({"service":"s","address":"1.1.1.1:1","zone":"z","state":"odd","seq_num":4,"capacity":{"cpu":1}})",
          R"({"service":"s","address":"1.1.1.1:1","zone":"z","state":"ready","seq_num":"4","capacity":{"cpu":1}})"})
-        EXPECT_FALSE(isOk(parseWorkerNews(heartbeat(body)))) << body;
+        EXPECT_FALSE(isOk(parseWorkerReport(heartbeat(body)))) << body;
 }
 
 TEST(PlatformWorkers, ListsOfRunsAreDecoded)
 {
-    const PollReply hold = parsePollReply(reply(
+    const PollReply pollReply = parsePollReply(reply(
         200, R"({"clock_ms":482113,"born":5,"active":[["5c0e.0.0.17",2,"",41,3]],)"
              R"("finished":[[58,"5c0e.0.0.9",1,"done",""],[59,"5c0e.0.0.8",3,"lapsed",""]]})"));
-    ASSERT_EQ(hold.answer, CallAnswer::Ok);
-    EXPECT_EQ(hold.clock.value, 482113);
-    ASSERT_EQ(hold.active.size(), 1u);
-    EXPECT_EQ(hold.active[0].task, (TaskId{"5c0e", 17}));
-    EXPECT_EQ(hold.active[0].percent, 41);
-    ASSERT_EQ(hold.ended.size(), 2u);
-    EXPECT_EQ(hold.ended[0].end, TaskEnd::Done);
-    EXPECT_EQ(hold.ended[1].end, TaskEnd::Lost);
+    ASSERT_EQ(pollReply.answer, CallAnswer::Ok);
+    EXPECT_EQ(pollReply.clock.value, 482113);
+    ASSERT_EQ(pollReply.active.size(), 1u);
+    EXPECT_EQ(pollReply.active[0].task, (TaskId{"5c0e", 17}));
+    EXPECT_EQ(pollReply.active[0].percent, 41);
+    ASSERT_EQ(pollReply.ended.size(), 2u);
+    EXPECT_EQ(pollReply.ended[0].end, TaskEnd::Done);
+    EXPECT_EQ(pollReply.ended[1].end, TaskEnd::Lost);
 }
 
 // An empty list means that nothing runs; an unreadable one must not.
@@ -190,12 +190,12 @@
 
 TEST(PlatformWorkers, AStartCarriesThePayloadUnchanged)
 {
-    StartRun order;
-    order.task = {"5c0e", 3};
-    order.attempt = 2;
-    order.payload = "a\"b\\c\n\x01";
-    order.deadline = WorkerClock{70};
-    EXPECT_EQ(callOf(order).body,
+    StartRun command;
+    command.task = {"5c0e", 3};
+    command.attempt = 2;
+    command.payload = "a\"b\\c\n\x01";
+    command.deadline = WorkerClock{70};
+    EXPECT_EQ(makeCall(command).body,
               R"({"task":"5c0e.0.0.3","attempt":2,"spec":"a\"b\\c\u000a\u0001",)"
               R"("deadline_ms":70})");
 }
@@ -237,7 +237,7 @@
     ASSERT_TRUE(isOk(page));
     ASSERT_EQ(valueOf(page).records.size(), 1u);
     EXPECT_EQ(valueOf(page).records[0].value, "{\"a\":1}");
-    EXPECT_EQ(valueOf(page).continueFrom, "config");
+    EXPECT_EQ(valueOf(page).continueAfterKey, "config");
 }
 
 TEST(PlatformConfig, QueuesAreDecoded)
