--- a/tests/dispatchcodec_test.cpp
+++ b/tests/dispatchcodec_test.cpp
@@ -1,4 +1,5 @@
-// Frames between entries and agents: what is sent arrives, and no bytes of a peer can do harm.
+// Encoding and decoding of the frames between entries and agents. Guards against fields that are
+// lost on the way and against frames that crash the receiver.
 
 #include "dispatchcodec.h"
 
@@ -50,6 +51,7 @@
 
 } // namespace
 
+// Guards against a field that the field list of its message lacks or has at the wrong place.
 TEST(DispatchCodec, EveryMessageArrivesAsItWasSent)
 {
     const std::string frame = encodeFrame(examples());
@@ -65,7 +67,8 @@
     EXPECT_EQ(std::get<WorkerLoad>(valueOf(decoded)[5]).free.cpuMillis, -5);
 }
 
-// A newer process may add fields at the end.
+// Guards against refusing the messages of a newer process, which may have additional fields at the
+// end.
 TEST(DispatchCodec, FieldsAfterTheKnownOnesAreIgnored)
 {
     // [[4 (WithdrawTask), ["a", 1], 2, "new"]]
@@ -78,7 +81,7 @@
     EXPECT_EQ(std::get<WithdrawTask>(valueOf(decoded).at(0)).attempt, 2u);
 }
 
-// Guards against a crash or an unbounded allocation on bytes of a stranger.
+// Guards against a crash or an unbounded allocation when a peer sends invalid bytes.
 TEST(DispatchCodec, ChangedBytesAreDecodedOrRefused)
 {
     const std::string frame = encodeFrame(examples());
--- a/tests/eventlog_test.cpp
+++ b/tests/eventlog_test.cpp
@@ -1,4 +1,4 @@
-// The log of the best-effort processes is bounded and never blocks them.
+// Log of the best-effort processes: format, limits, and that it never blocks.
 
 #include "eventlog.h"
 
@@ -40,6 +40,7 @@
 
 } // namespace
 
+// Guards against a field value with spaces that breaks up its line.
 TEST_F(EventLogTest, AnEventIsOneLineOfFields)
 {
     EventLog log(m_loop, "entry", "e1", m_pipe[1]);
@@ -52,7 +53,8 @@
         << text;
 }
 
-// A flood of one kind of event must not crowd out the others, and what is left out is counted.
+// Guards against one kind of event with very many lines that keeps others out of the log, and
+// against dropped events that are not counted.
 TEST_F(EventLogTest, EachKindHasABudget)
 {
     EventLog log(m_loop, "entry", "e1", m_pipe[1], {5, 1 << 20});
@@ -66,7 +68,7 @@
     EXPECT_GE(log.droppedEvents(), 40u);
 }
 
-// A reader that stands still must not stop the process.
+// Guards against a process that blocks because nobody reads its log.
 TEST_F(EventLogTest, AFullPipeDoesNotBlock)
 {
     EventLog log(m_loop, "entry", "e1", m_pipe[1], {1'000'000, 64 << 10});
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-// HTTP client and server on one event loop, over loopback.
+// HTTP client and server on one event loop, over the loopback address.
 
 #include "eventloop.h"
 #include "httpclient.h"
@@ -67,8 +67,8 @@
     EXPECT_EQ(seen.body, "payload");
 }
 
-// A suspended request must be answered when the answer comes, on a connection that epoll reports
-// nothing for.
+// Guards against a response that is never sent: its connection is suspended, and epoll reports no
+// event for it when it is resumed.
 TEST_F(Http, AnswersLater)
 {
     std::optional<RequestId> waiting;
@@ -84,6 +84,7 @@
     EXPECT_EQ(server->openRequests(), 0u);
 }
 
+// Guards against a long body that fills the server's memory.
 TEST_F(Http, RefusesABodyOverTheLimitWithoutCallingTheHandler)
 {
     bool called = false;
@@ -94,7 +95,8 @@
     EXPECT_FALSE(called);
 }
 
-// Two processes on one address would each get a part of the requests.
+// Guards against two processes that listen on one address, each of which would get a part of the
+// requests.
 TEST_F(Http, RefusesAnAddressThatIsInUse)
 {
     serve([](RequestId, HttpRequest) {});
@@ -102,6 +104,7 @@
         isOk(HttpServer::listen(loop, server->address(), {}, [](RequestId, HttpRequest) {})));
 }
 
+// Guards against taking a timeout as proof that nothing was delivered.
 TEST_F(Http, TellsARefusedConnectionFromATimeout)
 {
     serve([](RequestId, HttpRequest) {});
@@ -114,14 +117,14 @@
     EXPECT_EQ(errorOf(refused).kind, HttpFailure::NotSent);
 }
 
-// A raw server that answers the first request on a connection, reads the second one, then closes
-// the connection and its listener. libcurl then resends to a refused port.
-// With `successor` another server answers 410 at the same port.
-class DyingServer
+// Server that answers the first request on a connection, reads the second one and then closes the
+// connection and the listening socket. libcurl then sends the second request again to a port that
+// refuses it. With `hasSuccessor` another server at the same port answers it with 410.
+class ClosingServer
 {
 public:
-    explicit DyingServer(bool successor = false)
-        : m_hasSuccessor(successor)
+    explicit ClosingServer(bool hasSuccessor = false)
+        : m_hasSuccessor(hasSuccessor)
     {
         m_listener = socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in address{};
@@ -135,14 +138,15 @@
         m_thread = std::thread([this] { run(); });
     }
 
-    ~DyingServer() { m_thread.join(); }
-    DyingServer(const DyingServer &) = delete;
-    DyingServer &operator=(const DyingServer &) = delete;
+    ~ClosingServer() { m_thread.join(); }
+    ClosingServer(const ClosingServer &) = delete;
+    ClosingServer &operator=(const ClosingServer &) = delete;
 
     std::uint16_t port = 0;
 
 private:
-    // Headers and body of a request arrive separately, and only a whole one can have been handled.
+    // Reads until the body is complete: headers and body arrive separately, and only a complete
+    // request can have been handled.
     static void readRequest(int fd, std::string_view body)
     {
         std::string text;
@@ -167,7 +171,7 @@
         close(m_listener);
     }
 
-    // Ends without a request after a while.
+    // Answers one request with 410, or none if none arrives within 500 ms.
     void answerGone() const
     {
         pollfd waiting{m_listener, POLLIN, 0};
@@ -175,7 +179,7 @@
             return;
         const int fd = accept(m_listener, nullptr, nullptr);
         char buf[4096];
-        // libcurl connects before it finds that it cannot send the body again.
+        // libcurl may connect before it notices that it cannot send the body again.
         if (recv(fd, buf, sizeof(buf), 0) <= 0) {
             close(fd);
             return;
@@ -190,23 +194,24 @@
     std::thread m_thread;
 };
 
-// The request was read by the server, so "could not connect" on the resend proves nothing.
+// Guards against taking "could not connect" on the second attempt as proof that nothing was
+// delivered: the server has read the request on the first one.
 TEST_F(Http, AResendThatIsRefusedIsNotProofOfNonDelivery)
 {
-    DyingServer dying;
-    const std::string target = "http://127.0.0.1:" + std::to_string(dying.port) + "/";
+    ClosingServer closing;
+    const std::string target = "http://127.0.0.1:" + std::to_string(closing.port) + "/";
     ASSERT_TRUE(isOk(call({"POST", target, {}, "one"})));
     const Reply second = call({"POST", target, {}, "two"});
     ASSERT_FALSE(isOk(second));
     EXPECT_NE(errorOf(second).kind, HttpFailure::NotSent) << errorOf(second).detail;
 }
 
-// A 410 to a resend must not pass as the answer to the request: the server that died may have
-// handled the first copy, so the message is not provably undelivered.
+// Guards against returning a 410 to the second copy of a request as its answer: the server that
+// closed may have handled the first copy, so it is not proven that nothing was delivered.
 TEST_F(Http, AResendIsNotAnsweredByTheSuccessor)
 {
-    DyingServer dying(true);
-    const std::string target = "http://127.0.0.1:" + std::to_string(dying.port) + "/";
+    ClosingServer closing(true);
+    const std::string target = "http://127.0.0.1:" + std::to_string(closing.port) + "/";
     ASSERT_TRUE(isOk(call({"POST", target, {}, "one"})));
     const Reply second = call({"POST", target, {}, "two"});
     ASSERT_FALSE(isOk(second)) << "status " << valueOf(second).status;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,4 +1,5 @@
-// Formats of the users' platform: what is decoded, and what is refused rather than guessed.
+// Formats of the users' platform. Guards against fields that are decoded wrongly and against
+// invalid messages that are accepted.
 
 #include "platform.h"
 
@@ -61,6 +62,7 @@
 
 } // namespace
 
+// Guards against an address or time that is read from the wrong field.
 TEST(PlatformSettings, AreDecodedOnce)
 {
     const auto settings = parseSettings(EntrySettings, Role::Entry);
@@ -72,7 +74,7 @@
     EXPECT_EQ(valueOf(settings).shutdownGracePeriod, 6s);
 }
 
-// Guards against an operator who mends one mistake a start.
+// Guards against reporting only the first mistake, so that each start reveals one more.
 TEST(PlatformSettings, NameEveryMistakeAtOnce)
 {
     const auto settings = parseSettings("node_name = 7\nport_range = [0]\n", Role::Agent);
@@ -87,6 +89,7 @@
     EXPECT_FALSE(isOk(parseSettings("node_name = ", Role::Agent)));
 }
 
+// Guards against tasks that run with the wrong resources or a changed payload.
 TEST(PlatformJobs, ABestEffortJobIsDecoded)
 {
     const auto job
@@ -100,7 +103,7 @@
     EXPECT_EQ(valueOf(job).declared, 90ms);
 }
 
-// Guards against running a part of what a job asks for.
+// Guards against accepting a job and ignoring an unsupported field of it.
 TEST(PlatformJobs, WhatIsNotBuiltIsRefusedByItsField)
 {
     const auto fieldOf = [](const char *body) {
@@ -117,6 +120,7 @@
     EXPECT_EQ(fieldOf("nonsense"), "body");
 }
 
+// Guards against a short time that is rounded to 0, so that refused callers retry at once.
 TEST(PlatformJobs, RetryAfterIsAtLeastASecond)
 {
     const HttpResponse response = formatAnswer({JobOutcome::Refused, "overloaded", 20ms});
@@ -124,6 +128,7 @@
     EXPECT_EQ(response.headers.at("Retry-After"), "1");
 }
 
+// Guards against placing tasks by the wrong capacity or labels, or on a worker that is draining.
 TEST(PlatformWorkers, AHeartbeatIsDecoded)
 {
     const auto report = parseWorkerReport(heartbeat(
@@ -138,7 +143,7 @@
     EXPECT_EQ(info.startedAtUnixMs, 1788269136761);
 }
 
-// A heartbeat of another writer names no worker to use.
+// Guards against tasks being placed by a heartbeat that is incomplete or invalid.
 TEST(PlatformWorkers, AnUnreadableHeartbeatNamesNoWorker)
 {
     for (
@@ -150,6 +155,8 @@
         EXPECT_FALSE(isOk(parseWorkerReport(heartbeat(body)))) << body;
 }
 
+// Guards against a task that is taken for running although it has ended, or for done although it
+// was lost.
 TEST(PlatformWorkers, ListsOfRunsAreDecoded)
 {
     const PollReply pollReply = parsePollReply(reply(
@@ -165,7 +172,8 @@
     EXPECT_EQ(pollReply.ended[1].end, TaskEnd::Lost);
 }
 
-// An empty list means that nothing runs; an unreadable one must not.
+// Guards against an invalid list of running tasks being taken for an empty one, which means that
+// nothing runs.
 TEST(PlatformWorkers, AnUnreadableListIsNoAnswer)
 {
     for (const char *body : {"", "{}", R"({"clock_ms":1,"active":{},"finished":[]})",
@@ -173,6 +181,7 @@
         EXPECT_EQ(parsePollReply(reply(200, body)).answer, CallAnswer::NoAnswer) << body;
 }
 
+// Guards against taking a reply that leaves open whether the task was started for a refusal.
 TEST(PlatformWorkers, RefusalsOfAStartAreToldApart)
 {
     EXPECT_EQ(parseStartReply(reply(200, R"({"clock_ms":1})")).answer, StartAnswer::Accepted);
@@ -188,6 +197,7 @@
               StartAnswer::NotSent);
 }
 
+// Guards against characters of the payload that break the JSON of the call.
 TEST(PlatformWorkers, AStartCarriesThePayloadUnchanged)
 {
     StartRun command;
@@ -200,6 +210,7 @@
               R"("deadline_ms":70})");
 }
 
+// Guards against records that are skipped or that get the wrong offset.
 TEST(PlatformStore, RecordsOfALongReadAreDecoded)
 {
     const std::string offsets(16, '\0');
@@ -213,12 +224,13 @@
     EXPECT_EQ(valueOf(page).records[2].offset, LogOffset{9});
     EXPECT_EQ(valueOf(page).next, LogOffset{10});
 
-    // A record that is cut at the largest answer is read again.
+    // A record that is cut off at the longest answer is read again.
     const auto cut = parseRead(reply(200, whole.substr(0, whole.size() - 1)), LogOffset{7});
     ASSERT_TRUE(isOk(cut));
     EXPECT_EQ(valueOf(cut).next, LogOffset{9});
 }
 
+// Guards against retrying at an offset whose records are gone.
 TEST(PlatformStore, FailuresAreToldApart)
 {
     EXPECT_EQ(errorOf(parseRead(reply(410, ""), {})).kind, StoreFailure::Trimmed);
@@ -228,6 +240,7 @@
     EXPECT_EQ(errorOf(parseNewest(HttpCallError{})).kind, StoreFailure::Unreachable);
 }
 
+// Guards against an invalid record that makes the other ones of its page unreadable.
 TEST(PlatformStore, NewestRecordsAreDecoded)
 {
     const auto page
@@ -240,6 +253,8 @@
     EXPECT_EQ(valueOf(page).continueAfterKey, "config");
 }
 
+// Guards against a limit that is read from the wrong field and against an incomplete configuration
+// that is accepted.
 TEST(PlatformConfig, QueuesAreDecoded)
 {
     const auto config = parseConfig(
@@ -254,6 +269,7 @@
     EXPECT_FALSE(isOk(parseConfig(R"({"version":7,"routes":[{"name":"r"}]})")));
 }
 
+// Guards against a request that goes to the queue of another host or of a shorter prefix.
 TEST(QueueMatch, TheLongestPrefixOfTheHostWins)
 {
     DispatchConfig config;
