--- a/tests/slowstore.cpp
+++ b/tests/slowstore.cpp
@@ -1,4 +1,5 @@
-// Plain sockets on the event loop; each turn of a timer sends what the link carries in that time.
+// Plain sockets on the event loop. Each tick of a timer sends as many bytes as the link carries in
+// that time.
 
 #include "slowstore.h"
 
@@ -20,8 +21,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration Tick = 5ms;
-constexpr std::size_t Waiting = std::string::npos;
+constexpr Duration TickInterval = 5ms;
+constexpr std::size_t NoLongRead = std::string::npos;
 
 std::string bigEndian(std::uint64_t n, int bytes)
 {
@@ -31,7 +32,7 @@
     return out;
 }
 
-std::size_t numberAfter(std::string_view path, std::string_view name)
+std::size_t parseNumberAfter(std::string_view path, std::string_view name)
 {
     const auto at = path.find(name);
     std::size_t n = 0;
@@ -44,8 +45,8 @@
 
 SlowStore::SlowStore(EventLoop &loop, double bitsPerSecond)
     : m_loop(loop)
-    , m_bytesPerTick(bitsPerSecond / 8 * std::chrono::duration<double>(Tick).count())
-    , m_ticker(loop, [this] { tick(); })
+    , m_bytesPerTick(bitsPerSecond / 8 * std::chrono::duration<double>(TickInterval).count())
+    , m_tickTimer(loop, [this] { onTick(); })
 {
     m_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
     sockaddr_in own{};
@@ -56,14 +57,14 @@
     ::listen(m_fd, 16);
     getsockname(m_fd, reinterpret_cast<sockaddr *>(&own), &size);
     m_address = "127.0.0.1:" + std::to_string(ntohs(own.sin_port));
-    m_acceptor = std::make_unique<IoWatcher>(loop, m_fd, [this](int) { accept(); });
-    m_acceptor->watch(IoWatcher::Readable);
-    m_ticker.startIn(Tick);
+    m_listenWatcher = std::make_unique<IoWatcher>(loop, m_fd, [this](int) { accept(); });
+    m_listenWatcher->watch(IoWatcher::Readable);
+    m_tickTimer.startIn(TickInterval);
 }
 
 SlowStore::~SlowStore()
 {
-    m_acceptor.reset();
+    m_listenWatcher.reset();
     for (auto &[fd, it] : m_connections) {
         it.watcher.reset();
         close(fd);
@@ -75,13 +76,13 @@
 {
     m_records.push_back({std::move(key), std::move(value)});
     for (auto &[fd, it] : m_connections)
-        if (it.waitsFrom != Waiting)
-            answerRead(it, it.waitsFrom);
+        if (it.longReadOffset != NoLongRead)
+            answerRead(it, it.longReadOffset);
 }
 
 void SlowStore::dropHistory()
 {
-    m_first = m_records.size();
+    m_firstOffset = m_records.size();
 }
 
 void SlowStore::accept()
@@ -121,20 +122,20 @@
 {
     if (path.starts_with("/-/log-newest"))
         return answerNewest(it);
-    const std::size_t from = numberAfter(path, "&from=");
-    if (from < m_first)
+    const std::size_t from = parseNumberAfter(path, "&from=");
+    if (from < m_firstOffset)
         return respond(it, 410, "{}");
     if (from >= m_records.size())
-        it.waitsFrom = from;
+        it.longReadOffset = from;
     else
         answerRead(it, from);
 }
 
 void SlowStore::answerRead(Connection &it, std::size_t from)
 {
-    constexpr std::size_t MaxBytes = 320 << 10; // as the product asks for
-    it.waitsFrom = Waiting;
-    std::string body = bigEndian(m_records.size(), 8) + bigEndian(m_first, 8);
+    constexpr std::size_t MaxBytes = 320 << 10; // as in the requests: platform::MaxReadKb
+    it.longReadOffset = NoLongRead;
+    std::string body = bigEndian(m_records.size(), 8) + bigEndian(m_firstOffset, 8);
     for (std::size_t i = from; i < m_records.size(); ++i) {
         const auto &[key, value] = m_records[i];
         if (i > from && body.size() + value.size() > MaxBytes)
@@ -165,23 +166,23 @@
 {
     it.unsent = "HTTP/1.1 " + std::to_string(status) + " X\r\nContent-Length: "
                 + std::to_string(body.size()) + "\r\n\r\n" + std::string(body);
-    it.left = std::exchange(m_stallAfter, std::string::npos);
+    it.bytesUntilStall = std::exchange(m_stallAfter, std::string::npos);
 }
 
-// All connections share the link; a stalled one takes nothing of it.
-void SlowStore::tick()
+// All connections share the link. A stalled one uses none of its capacity.
+void SlowStore::onTick()
 {
-    m_ticker.startIn(Tick);
-    auto room = static_cast<std::size_t>(m_bytesPerTick);
+    m_tickTimer.startIn(TickInterval);
+    auto capacity = static_cast<std::size_t>(m_bytesPerTick);
     for (auto &[fd, it] : m_connections) {
-        const std::size_t wanted = std::min({room, it.unsent.size(), it.left});
+        const std::size_t wanted = std::min({capacity, it.unsent.size(), it.bytesUntilStall});
         const ssize_t n = wanted > 0 ? ::send(fd, it.unsent.data(), wanted, MSG_NOSIGNAL) : 0;
         if (n <= 0)
             continue;
         const auto sent = static_cast<std::size_t>(n);
         it.unsent.erase(0, sent);
-        it.left -= it.left == std::string::npos ? 0 : sent;
-        room -= sent;
+        it.bytesUntilStall -= it.bytesUntilStall == std::string::npos ? 0 : sent;
+        capacity -= sent;
         m_sentBytes += sent;
     }
 }
--- a/tests/storefollower_test.cpp
+++ b/tests/storefollower_test.cpp
@@ -1,5 +1,5 @@
-// A topic that is followed over a link so slow that a large record takes longer than the pauses
-// and patience of the reader.
+// Following a topic over a network link on which a large record takes longer than the follower's
+// timeouts.
 
 #include "slowstore.h"
 #include "storefollower.h"
@@ -13,10 +13,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr double SlowLink = 2e6;                  // bits a second
-constexpr std::size_t LargestRecord = 256 * 1024; // of the store
-// Configurations are in force by then after they were acknowledged, as the users ask.
-constexpr Duration ApplyTime = 4s;
+constexpr double LinkBitsPerSecond = 2e6;
+constexpr std::size_t MaxRecordBytes = 256 * 1024; // the store accepts no larger record
+// The users require that a configuration is in force by this time after the store acknowledged it.
+constexpr Duration MaxApplyTime = 4s;
 
 class StoreFollowerTest : public testing::Test
 {
@@ -28,97 +28,103 @@
         settings.topic = platform::operatorTopic();
         follower = std::make_unique<StoreFollower>(
             loop, http, settings,
-            StoreFollower::Handlers{
-                [this](const platform::StoreRecord &it) { onRecord(it); },
-                [this](bool isReachable, const std::string &) { losses += !isReachable; }});
+            StoreFollower::Handlers{[this](const platform::StoreRecord &it) { onRecord(it); },
+                                    [this](bool isReachable, const std::string &) {
+                                        reachabilityLosses += !isReachable;
+                                    }});
     }
 
     void onRecord(const platform::StoreRecord &it)
     {
-        newest = it.value;
-        ++records;
-        if (newest == awaited)
+        newestValue = it.value;
+        ++recordCount;
+        if (newestValue == expectedValue)
             loop.stop();
     }
 
-    // Returns how long it took; NeverTime's distance if it took longer than `patience`.
-    Duration await(const std::string &value, Duration patience)
+    // Runs the loop until the record `value` is read. Returns how long that took, or
+    // Duration::max() if it took longer than `timeout`.
+    Duration waitFor(const std::string &value, Duration timeout)
     {
-        awaited = value;
-        const TimePoint since = loop.now();
-        Timer giveUp(loop, [this] { loop.stop(); });
-        giveUp.startIn(patience);
-        if (newest != awaited)
+        expectedValue = value;
+        const TimePoint startedAt = loop.now();
+        Timer timeoutTimer(loop, [this] { loop.stop(); });
+        timeoutTimer.startIn(timeout);
+        if (newestValue != expectedValue)
             loop.run();
-        return newest == awaited ? loop.now() - since : Duration::max();
+        return newestValue == expectedValue ? loop.now() - startedAt : Duration::max();
     }
 
-    static std::string config(char mark, std::size_t size) { return std::string(size, mark); }
+    static std::string config(char fill, std::size_t size) { return std::string(size, fill); }
 
     EventLoop loop;
     HttpClient http{loop};
-    SlowStore store{loop, SlowLink};
+    SlowStore store{loop, LinkBitsPerSecond};
     std::unique_ptr<StoreFollower> follower;
-    std::string newest;
-    std::string awaited;
-    int records = 0;
-    int losses = 0;
+    std::string newestValue;
+    std::string expectedValue;
+    int recordCount = 0;
+    int reachabilityLosses = 0;
 };
 
 } // namespace
 
-// Guards against a time limit on the whole answer: it cut each read off and began anew for ever.
+// Guards against a time limit on the whole answer: a record that takes longer would be cut off and
+// read again from its start endlessly.
 TEST_F(StoreFollowerTest, TheLargestRecordArrivesOverASlowLink)
 {
-    store.append("config", config('a', LargestRecord - 64));
+    store.append("config", config('a', MaxRecordBytes - 64));
     follow();
-    EXPECT_LT(await(config('a', LargestRecord - 64), 10s), ApplyTime);
-    EXPECT_EQ(losses, 0);
-    EXPECT_LT(store.sentBytes(), 2 * LargestRecord) << "the record was sent more than once";
+    EXPECT_LT(waitFor(config('a', MaxRecordBytes - 64), 10s), MaxApplyTime);
+    EXPECT_EQ(reachabilityLosses, 0);
+    EXPECT_LT(store.sentBytes(), 2 * MaxRecordBytes) << "the record was sent more than once";
 }
 
+// The same for a record that is received by a long read.
 TEST_F(StoreFollowerTest, AConfigurationThatGrowsIsInForceInTime)
 {
     store.append("config", config('a', 2000));
     follow();
-    ASSERT_LT(await(config('a', 2000), 10s), ApplyTime);
-    store.append("config", config('b', LargestRecord - 64));
-    EXPECT_LT(await(config('b', LargestRecord - 64), 10s), ApplyTime);
-    EXPECT_EQ(losses, 0);
+    ASSERT_LT(waitFor(config('a', 2000), 10s), MaxApplyTime);
+    store.append("config", config('b', MaxRecordBytes - 64));
+    EXPECT_LT(waitFor(config('b', MaxRecordBytes - 64), 10s), MaxApplyTime);
+    EXPECT_EQ(reachabilityLosses, 0);
 }
 
-// Guards against reading every older version of a record before the newest one.
+// Guards against reading all older records of a key before the newest one.
 TEST_F(StoreFollowerTest, TheNewestOfManyLargeChangesIsInForceInTime)
 {
     store.append("config", config('a', 2000));
     follow();
-    ASSERT_LT(await(config('a', 2000), 10s), ApplyTime);
-    for (const char mark : {'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i'})
-        store.append("config", config(mark, 200'000));
-    EXPECT_LT(await(config('i', 200'000), 20s), ApplyTime);
-    EXPECT_LE(records, 4);
+    ASSERT_LT(waitFor(config('a', 2000), 10s), MaxApplyTime);
+    for (const char fill : {'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i'})
+        store.append("config", config(fill, 200'000));
+    EXPECT_LT(waitFor(config('i', 200'000), 20s), MaxApplyTime);
+    EXPECT_LE(recordCount, 4);
 }
 
+// Guards against reading endlessly at an offset whose records the store has deleted.
 TEST_F(StoreFollowerTest, AHistoryThatIsDroppedIsReadAnewFromTheNewestRecords)
 {
     store.append("config", config('a', 2000));
     follow();
-    ASSERT_LT(await(config('a', 2000), 10s), ApplyTime);
-    for (const char mark : {'b', 'c', 'd'})
-        store.append("config", config(mark, 100'000));
+    ASSERT_LT(waitFor(config('a', 2000), 10s), MaxApplyTime);
+    for (const char fill : {'b', 'c', 'd'})
+        store.append("config", config(fill, 100'000));
     store.dropHistory();
-    EXPECT_LT(await(config('d', 100'000), 20s), ApplyTime);
-    EXPECT_EQ(losses, 0);
+    EXPECT_LT(waitFor(config('d', 100'000), 20s), MaxApplyTime);
+    EXPECT_EQ(reachabilityLosses, 0);
 }
 
-// Guards against waiting for ever on a connection that has gone silent in the middle of an answer.
+// Guards against waiting endlessly on a connection that breaks without a close in the middle of an
+// answer.
 TEST_F(StoreFollowerTest, AnAnswerThatStopsHalfWayIsAskedForAgain)
 {
     store.append("config", config('a', 50'000));
     store.stallNextAnswerAfter(10'000);
     follow();
-    EXPECT_LT(await(config('a', 50'000), 10s), ApplyTime);
-    EXPECT_EQ(losses, 1);
+    EXPECT_LT(waitFor(config('a', 50'000), 10s), MaxApplyTime);
+    EXPECT_EQ(reachabilityLosses, 1);
 }
 
 } // namespace cactuscove
