--- a/src/storefollower.h
+++ b/src/storefollower.h
@@ -42,8 +42,9 @@
         // A record was read. The same record may be reported again, and a record that is followed
         // by a newer one with the same key may be skipped.
         std::function<void(const platform::StoreRecord &record)> onRecord;
-        // The store was reached first, was lost or is reached again. `detail` is the error of the
-        // failed read, empty if the store is reachable. May be empty.
+        // The first read has ended, or the store has become reachable or unreachable since.
+        // `detail` is the error of the failed read; empty if the store is reachable. The handler
+        // may be empty.
         std::function<void(bool isReachable, const std::string &detail)> onReachabilityChanged;
     };
 
@@ -54,7 +55,7 @@
                   Handlers handlers);
 
     // Appends a record to the topic and repeats the append until the store has acknowledged it
-    // once. To be called at most once.
+    // once. Must not be called a second time.
     void publish(std::string key, std::string value);
 
 private:
