--- a/src/durations.h
+++ b/src/durations.h
@@ -1,4 +1,4 @@
-// Conversions of durations for formulas, formats and log lines.
+// Conversions between durations and milliseconds, for formulas and log fields.
 
 #pragma once
 
@@ -13,14 +13,16 @@
     return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-inline std::int64_t wholeMs(Duration duration)
+// Rounds towards zero.
+inline std::int64_t toWholeMs(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-inline std::string msText(Duration duration)
+// Whole milliseconds in decimal digits, without a unit.
+inline std::string toMsString(Duration duration)
 {
-    return std::to_string(wholeMs(duration));
+    return std::to_string(toWholeMs(duration));
 }
 
 inline Duration fromMs(double ms)
--- a/src/jobdispatcher.cpp
+++ b/src/jobdispatcher.cpp
@@ -138,7 +138,7 @@
                                {"reason", answer.reason},
                                {"config", std::to_string(m_config.version)},
                                {"agents", std::to_string(m_directory.connectedAgents())},
-                               {"retry_ms", msText(answer.retryAfter)}}});
+                               {"retry_ms", toMsString(answer.retryAfter)}}});
     out.emplace_back(AnswerJob{caller, answer});
 }
 
@@ -217,8 +217,8 @@
         {{"job", job.spec.id},
          {"queue", job.spec.queue},
          {"reason", answer.reason},
-         {"wait_ms", msText(wait)},
-         {"allowed_ms", msText(allowed)},
+         {"wait_ms", toMsString(wait)},
+         {"allowed_ms", toMsString(allowed)},
          {"waiting_core_ms",
           std::to_string(static_cast<std::int64_t>(m_load.waitingWork(job.priority).coreMs))},
          {"free_cores", std::to_string(static_cast<std::int64_t>(room.freeCores))},
@@ -315,7 +315,7 @@
             setState(number, job, task, State::Withdrawn);
     }
     const auto since
-        = [&](TimePoint at) { return at == TimePoint{} ? "-1" : msText(at - job.arrivedAt); };
+        = [&](TimePoint at) { return at == TimePoint{} ? "-1" : toMsString(at - job.arrivedAt); };
     out.emplace_back(LogEvent{Severity::Info,
                               "job_answered",
                               {{"job", job.spec.id},
@@ -326,9 +326,9 @@
                                {"done", std::to_string(job.done)},
                                {"callers", std::to_string(job.callers.size())},
                                {"first_start_ms", since(job.firstStartAt)},
-                               {"took_ms", msText(now - job.arrivedAt)},
-                               {"expected_ms", msText(job.expectedRun)},
-                               {"objective_ms", msText(job.objectiveAt - job.arrivedAt)},
+                               {"took_ms", toMsString(now - job.arrivedAt)},
+                               {"expected_ms", toMsString(job.expectedRun)},
+                               {"objective_ms", toMsString(job.objectiveAt - job.arrivedAt)},
                                {"attempt", std::to_string(attempt)},
                                {"config", std::to_string(m_config.version)}}});
     if (answer.outcome == JobOutcome::Completed)
--- a/src/jobdispatcheragents.cpp
+++ b/src/jobdispatcheragents.cpp
@@ -51,14 +51,15 @@
                 continue;
             if (task.state != State::Unproven) {
                 task.unprovenAt = now;
-                out.emplace_back(LogEvent{Severity::Warning,
-                                          "task_unproven",
-                                          {{"job", job.spec.id},
-                                           {"task", std::to_string(&task - job.tasks.data())},
-                                           {"attempt", std::to_string(task.attempt)},
-                                           {"worker", task.worker.worker},
-                                           {"agent", task.agentName},
-                                           {"proven_in_ms", msText(m_settings.lostAgentTimeout)}}});
+                out.emplace_back(
+                    LogEvent{Severity::Warning,
+                             "task_unproven",
+                             {{"job", job.spec.id},
+                              {"task", std::to_string(&task - job.tasks.data())},
+                              {"attempt", std::to_string(task.attempt)},
+                              {"worker", task.worker.worker},
+                              {"agent", task.agentName},
+                              {"proven_in_ms", toMsString(m_settings.lostAgentTimeout)}}});
             }
             task.provenAt = now + m_settings.lostAgentTimeout;
             setState(number, job, task, State::Unproven);
@@ -163,9 +164,9 @@
                                {"task", std::to_string(message.task.index)},
                                {"attempt", std::to_string(message.attempt)},
                                {"worker", task.worker.worker},
-                               {"remaining_ms", msText(message.remaining)},
-                               {"expected_ms", msText(job->expectedRun)},
-                               {"objective_ms", msText(job->objectiveAt - now)}}});
+                               {"remaining_ms", toMsString(message.remaining)},
+                               {"expected_ms", toMsString(job->expectedRun)},
+                               {"objective_ms", toMsString(job->objectiveAt - now)}}});
 }
 
 void JobDispatcher::onEnded(Incarnation agent, const TaskEnded &message, TimePoint now,
--- a/src/taskrunner.cpp
+++ b/src/taskrunner.cpp
@@ -135,8 +135,8 @@
                                {"attempt", std::to_string(task.assignment.attempt)},
                                {"worker", worker.info.id},
                                {"end", std::string(nameOf(end))},
-                               {"ran_ms", msText(runTime)},
-                               {"expected_ms", msText(task.assignment.expectedRun)},
+                               {"ran_ms", toMsString(runTime)},
+                               {"expected_ms", toMsString(task.assignment.expectedRun)},
                                {"start_calls", std::to_string(task.startCalls)}}});
     worker.marks.ended(task.assignment.task, end, runTime, task.assignment.expectedRun, now);
     ++m_loadVersion;
@@ -176,7 +176,7 @@
                                   {{"worker", worker.info.id},
                                    {"reason", std::string(reason)},
                                    {"count", std::to_string(lost.size())},
-                                   {"heard_ms", msText(now - worker.heardAt)}}});
+                                   {"heard_ms", toMsString(now - worker.heardAt)}}});
     for (const TaskId &id : lost)
         endTask(worker, worker.tasks.find(id), TaskEnd::Lost, now, out);
     worker.orphans.clear();
@@ -304,7 +304,7 @@
     out.emplace_back(LogEvent{Severity::Warning,
                               "worker_unresponsive",
                               {{"worker", worker.info.id},
-                               {"listed_ms", msText(now - worker.listedAt)},
+                               {"listed_ms", toMsString(now - worker.listedAt)},
                                {"unanswered", std::to_string(worker.holdsUnanswered)}}});
 }
 
--- a/src/taskrunnercalls.cpp
+++ b/src/taskrunnercalls.cpp
@@ -87,7 +87,7 @@
 
 WorkerClock TaskRunner::workerTime(const Worker &worker, TimePoint at) const
 {
-    return WorkerClock{worker.clock.value + wholeMs(at - worker.clockAt)};
+    return WorkerClock{worker.clock.value + toWholeMs(at - worker.clockAt)};
 }
 
 // Starts and stops
@@ -101,7 +101,7 @@
     out.emplace_back(
         StartRun{newCall({worker.info.id, it.task, it.attempt, now}), worker.info.id,
                  worker.info.address, it.task, it.attempt, it.payload,
-                 WorkerClock{workerTime(worker, now).value + wholeMs(m_settings.startWindow)},
+                 WorkerClock{workerTime(worker, now).value + toWholeMs(m_settings.startWindow)},
                  AnswerPatience});
 }
 
@@ -138,8 +138,8 @@
                                {"attempt", std::to_string(task.assignment.attempt)},
                                {"worker", worker.info.id},
                                {"reason", std::string(reason)},
-                               {"ran_ms", msText(now - task.sentAt)},
-                               {"entry_heard_ms", msText(heardAgo)}}});
+                               {"ran_ms", toMsString(now - task.sentAt)},
+                               {"entry_heard_ms", toMsString(heardAgo)}}});
     task.state = State::Stopping;
     task.stopAcknowledged = false;
     sendStop(worker, task, now, out);
@@ -288,7 +288,7 @@
     // renewal that could be carried out late.
     if (worker.isSynced && worker.orphans.empty() && !worker.isUnresponsive) {
         hold.leaseUntil
-            = WorkerClock{workerTime(worker, now).value + wholeMs(m_settings.leaseTime)};
+            = WorkerClock{workerTime(worker, now).value + toWholeMs(m_settings.leaseTime)};
         worker.leaseEnd = std::max(worker.leaseEnd, now + m_settings.leaseTime
                                                         + m_settings.leaseTime / 50 + LeaseSlack);
     }
@@ -317,10 +317,10 @@
     if (reply.startedAtUnixMs != 0 && reply.startedAtUnixMs != worker->info.startedAtUnixMs)
         return onWorkerLeft(std::string(worker->info.id), now, out);
     if (std::exchange(worker->isUnresponsive, false)) {
-        out.emplace_back(
-            LogEvent{Severity::Info,
-                     "worker_responsive",
-                     {{"worker", worker->info.id}, {"listed_ms", msText(now - worker->listedAt)}}});
+        out.emplace_back(LogEvent{
+            Severity::Info,
+            "worker_responsive",
+            {{"worker", worker->info.id}, {"listed_ms", toMsString(now - worker->listedAt)}}});
         ++m_loadVersion;
     }
     worker->holdsUnanswered = 0;
@@ -424,7 +424,7 @@
              {"task", std::to_string(id.index)},
              {"attempt", std::to_string(task.assignment.attempt)},
              {"worker", worker.info.id},
-             {"ran_ms", msText(elapsed)},
+             {"ran_ms", toMsString(elapsed)},
              {"percent", std::to_string(task.percent)},
              {"slowness_percent",
               std::to_string(static_cast<std::int64_t>(worker.marks.runningSlowness() * 100))}}});
