--- a/src/entryselection.cpp
+++ b/src/entryselection.cpp
@@ -1,4 +1,5 @@
-// One walk over the entries in the order of their rank decides which to dial and which to release.
+// plan() walks over the entries once, in the order of rank, and decides which to dial and which to
+// release.
 
 #include "entryselection.h"
 
@@ -12,23 +13,26 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration ShortestRedial = 50ms;
-constexpr Duration LongestRedial = 1s;
-// A dialled connection that is not open by then does not count; the next entry is dialled as well.
-constexpr Duration DialPatience = 300ms;
+// The delay between dials of an entry doubles with each failure, from the first to the second of
+// these.
+constexpr Duration MinRedialDelay = 50ms;
+constexpr Duration MaxRedialDelay = 1s;
+// A dialled connection that is not open after this time does not count, and the next entry is
+// dialled as well.
+constexpr Duration DialTimeout = 300ms;
 // Hysteresis: an entry that comes and goes must not move connections each time.
 constexpr Duration ReleaseDelay = 2s;
 
 } // namespace
 
-EntrySelection::EntrySelection(std::string self, std::size_t links)
-    : m_self(std::move(self))
-    , m_links(links)
+EntrySelection::EntrySelection(std::string selfName, std::size_t connectionCount)
+    : m_selfName(std::move(selfName))
+    , m_connectionCount(connectionCount)
 {}
 
 EntrySelection::Rank EntrySelection::rankOf(std::string_view address) const
 {
-    const std::string pair = m_self + '\n' + std::string(address);
+    const std::string pair = m_selfName + '\n' + std::string(address);
     return {XXH3_64bits(pair.data(), pair.size()), std::string(address)};
 }
 
@@ -64,11 +68,11 @@
 {
     if (Entry *it = find(address)) {
         it->state = State::Open;
-        it->pause = Duration{};
+        it->redialDelay = Duration{};
     }
 }
 
-// An entry that was there is dialled at once: it may have lost only this connection.
+// After an open connection the entry is dialled at once: only this connection may have been lost.
 void EntrySelection::closed(std::string_view address, TimePoint now)
 {
     Entry *it = find(address);
@@ -77,25 +81,26 @@
     const bool wasOpen = it->state == State::Open;
     it->state = State::Idle;
     it->surplusSince = NeverTime;
-    it->dialAt = now + (wasOpen ? Duration{} : std::max(it->pause, ShortestRedial));
-    it->pause = wasOpen ? ShortestRedial
-                        : std::clamp<Duration>(it->pause * 2, ShortestRedial, LongestRedial);
+    it->nextDialAt = now + (wasOpen ? Duration{} : std::max(it->redialDelay, MinRedialDelay));
+    it->redialDelay
+        = wasOpen ? MinRedialDelay
+                  : std::clamp<Duration>(it->redialDelay * 2, MinRedialDelay, MaxRedialDelay);
 }
 
 void EntrySelection::reportedAlive(std::string_view address, TimePoint now)
 {
     Entry *it = find(address);
     if (it && it->state == State::Idle)
-        it->dialAt = std::min(it->dialAt, now);
+        it->nextDialAt = std::min(it->nextDialAt, now);
 }
 
 EntrySelection::Plan EntrySelection::plan(TimePoint now)
 {
     Plan plan;
     std::size_t open = 0;
-    std::size_t hoped = 0; // open, or may be so in a moment
+    std::size_t expected = 0; // open, or expected to be open soon
     for (auto &[rank, it] : m_entries) {
-        const bool isSurplus = it.state == State::Open && open >= m_links;
+        const bool isSurplus = it.state == State::Open && open >= m_connectionCount;
         if (!isSurplus)
             it.surplusSince = NeverTime;
         else if (it.surplusSince == NeverTime)
@@ -104,13 +109,13 @@
             plan.release.push_back(rank.second);
         if (it.state == State::Open)
             ++open;
-        if (hoped >= m_links)
+        if (expected >= m_connectionCount)
             continue;
-        const bool isDue = it.state == State::Idle && now >= it.dialAt;
+        const bool isDue = it.state == State::Idle && now >= it.nextDialAt;
         if (isDue)
             plan.dial.push_back(rank.second);
-        const bool isAwaited = it.state == State::Dialling && now - it.dialledAt <= DialPatience;
-        hoped += it.state == State::Open || isDue || isAwaited;
+        const bool isAwaited = it.state == State::Dialling && now - it.dialledAt <= DialTimeout;
+        expected += it.state == State::Open || isDue || isAwaited;
     }
     return plan;
 }
--- a/src/entryselection.h
+++ b/src/entryselection.h
@@ -1,10 +1,12 @@
-// Chooses the entries that a process keeps connections to: a fixed number, whatever the size of
-// the fleet. Each process ranks all entries that it knows by a hash of its own name and the entry's
-// address, so that a restart finds the same ones and the choices of all processes spread evenly
-// over entries, data centres and racks. It keeps the first ones in rank that are up; the next in
-// rank take the place of those that are not, for as long as they are not.
+// Chooses the entries that a process keeps connections to: a fixed number of them, whatever the
+// size of the fleet. Each process ranks all entries that it knows by a hash of its own name and the
+// entry's address. So a restarted process chooses the same entries, and the choices of all
+// processes are spread evenly over entries, data centres and racks. A process keeps connections to
+// the first entries in rank that are up. While one of them is down, the next in rank takes its
+// place.
 //
-// No socket and no clock: inputs carry the time.
+// Opens no connections itself: the process dials and closes what plan() asks for and reports what
+// happened. Reads no clock: inputs carry the time.
 
 #pragma once
 
@@ -20,52 +22,65 @@
 
 namespace cactuscove {
 
+// The choice of one process. An address is "ip:port". Reports about an unknown address are ignored.
 class EntrySelection
 {
 public:
-    // `self` is the same across restarts. `links` is the number of connections to keep.
-    EntrySelection(std::string self, std::size_t links);
+    // `selfName` is the name of the process, the same across restarts. `connectionCount` is the
+    // number of connections to keep.
+    EntrySelection(std::string selfName, std::size_t connectionCount);
 
     // Commands
-    void setConnectionCount(std::size_t links) { m_links = links; }
-    bool add(std::string_view address); // false if it is known already
+
+    // Number of connections to keep from now on.
+    void setConnectionCount(std::size_t connectionCount) { m_connectionCount = connectionCount; }
+    // Makes an entry known; false if it is known already.
+    bool add(std::string_view address);
+    // A connection was dialled; opened() or closed() follows.
     void dialled(std::string_view address, TimePoint now);
+    // The connection is in use: the entry has sent its hello.
     void opened(std::string_view address);
-    // The connection has ended, or did not open.
+    // The connection has ended, or could not be opened.
     void closed(std::string_view address, TimePoint now);
-    // Others hear the entry: it is due to be dialled at once if it is wanted.
+    // Another process has a connection to the entry: if it is wanted it is dialled at once,
+    // whatever its redial delay.
     void reportedAlive(std::string_view address, TimePoint now);
 
+    // What the process should do now, as lists of addresses.
     struct Plan
     {
         std::vector<std::string> dial;
-        std::vector<std::string> release; // open and not needed for some time
+        std::vector<std::string> release; // connections to close: not needed for 2 s
     };
+    // To be called after reports and at short intervals, as dials and releases become due with
+    // time.
     Plan plan(TimePoint now);
 
     // Queries
-    std::vector<std::string> addresses() const; // all that are known
+
+    std::vector<std::string> addresses() const; // all known entries
 
 private:
+    // State of the connection to an entry.
     enum class State { Idle, Dialling, Open };
 
     struct Entry
     {
         State state = State::Idle;
-        TimePoint dialledAt{};
-        TimePoint dialAt{}; // Idle: not before
-        Duration pause{};   // after the next failure
-        TimePoint surplusSince = NeverTime;
+        TimePoint dialledAt{};              // newest dial
+        TimePoint nextDialAt{};             // Idle: not dialled before this time
+        Duration redialDelay{};             // delay before the next dial after a failed one
+        TimePoint surplusSince = NeverTime; // Open: not needed since then; NeverTime: needed
     };
 
-    using Rank = std::pair<std::uint64_t, std::string>; // hash, address
+    using Rank = std::pair<std::uint64_t, std::string>; // hash and address
 
     Rank rankOf(std::string_view address) const;
     Entry *find(std::string_view address);
 
-    std::string m_self;
-    std::size_t m_links;
-    std::map<Rank, Entry> m_entries; // the first in rank first
+    std::string m_selfName;
+    std::size_t m_connectionCount;
+    std::map<Rank, Entry> m_entries; // in the order of rank
 };
 
 } // namespace cactuscove
--- a/tests/entryselection_test.cpp
+++ b/tests/entryselection_test.cpp
@@ -1,4 +1,5 @@
-// The choice of entries: the same after a restart, even, repaired, and moved by few.
+// The choice of entries: the same after a restart, evenly spread, repaired after a loss, and
+// changed as little as possible.
 
 #include "entryselection.h"
 
@@ -14,22 +15,24 @@
 using namespace std::chrono_literals;
 
 constexpr TimePoint Start{1h};
-constexpr std::size_t Links = 8;
+constexpr std::size_t ConnectionCount = 8;
 
 std::string addressOf(int entry)
 {
     return "10.0." + std::to_string(entry % 5) + '.' + std::to_string(entry) + ":7720";
 }
 
-EntrySelection knowing(const std::string &self, int entries)
+// Returns a selection that knows that many entries.
+EntrySelection selectionWith(const std::string &self, int entries)
 {
-    EntrySelection selection(self, Links);
+    EntrySelection selection(self, ConnectionCount);
     for (int i = 0; i < entries; ++i)
         selection.add(addressOf(i));
     return selection;
 }
 
-// Dials what the selection asks for; all but `down` open at once. Returns what was dialled.
+// Dials what the selection asks for. All connections open at once except to `down`, which fail.
+// Returns the dialled addresses.
 std::vector<std::string> connectAll(EntrySelection &selection, TimePoint now,
                                     const std::set<std::string> &down = {})
 {
@@ -51,69 +54,73 @@
 
 } // namespace
 
+// Guards against entries that are not dialled or are released although there are fewer than the
+// connections to keep.
 TEST(EntrySelection, ASmallFleetIsLinkedAsAWhole)
 {
-    EntrySelection selection = knowing("agent", 5);
+    EntrySelection selection = selectionWith("agent", 5);
     EXPECT_EQ(connectAll(selection, Start).size(), 5U);
     EXPECT_TRUE(selection.plan(Start + 10s).release.empty());
 }
 
+// Guards against a choice that depends on the order in which entries become known.
 TEST(EntrySelection, ARestartFindsTheSameEntriesInWhateverOrderItLearnsOfThem)
 {
-    EntrySelection first = knowing("agent", 55);
-    EntrySelection second("agent", Links);
+    EntrySelection first = selectionWith("agent", 55);
+    EntrySelection second("agent", ConnectionCount);
     for (int i = 54; i >= 0; --i)
         second.add(addressOf(i));
     const std::set<std::string> chosen = setOf(connectAll(first, Start));
-    EXPECT_EQ(chosen.size(), Links);
+    EXPECT_EQ(chosen.size(), ConnectionCount);
     EXPECT_EQ(chosen, setOf(connectAll(second, Start)));
 }
 
-// Guards against entries that few agents choose, and agents that all choose the same.
+// Guards against entries that few agents choose, and agents that all choose the same entries.
 TEST(EntrySelection, AgentsSpreadEvenlyOverEntries)
 {
     std::map<std::string, int> agentsOf;
     for (int i = 0; i < 240; ++i) {
-        EntrySelection selection = knowing("side-" + std::to_string(i), 55);
+        EntrySelection selection = selectionWith("side-" + std::to_string(i), 55);
         for (const std::string &it : connectAll(selection, Start))
             ++agentsOf[it];
     }
     ASSERT_EQ(agentsOf.size(), 55U);
-    const double mean = 240.0 * Links / 55;
+    const double mean = 240.0 * ConnectionCount / 55;
     for (const auto &[address, n] : agentsOf) {
         EXPECT_GT(n, mean / 2) << address;
         EXPECT_LT(n, mean * 2) << address;
     }
 }
 
+// Guards against more than one connection being moved when one entry is lost and comes back.
 TEST(EntrySelection, ALostEntryIsReplacedByOneAndItsReturnMovesOneLink)
 {
-    EntrySelection selection = knowing("agent", 55);
+    EntrySelection selection = selectionWith("agent", 55);
     const std::set<std::string> before = setOf(connectAll(selection, Start));
     const std::string lost = *before.begin();
     selection.closed(lost, Start + 1s);
-    // It is dialled at once, and does not answer; the next in rank takes its place.
+    // The lost entry is dialled at once and does not answer; then the next in rank takes its place.
     EXPECT_EQ(connectAll(selection, Start + 1s, {lost}), std::vector{lost});
     const std::vector<std::string> next = connectAll(selection, Start + 1s, {lost});
     ASSERT_EQ(next.size(), 1U);
     EXPECT_FALSE(before.count(next.front()));
-    // It is back.
+    // The lost entry is back. The extra connection is released after 2 s.
     EXPECT_EQ(connectAll(selection, Start + 3s), std::vector{lost});
     EXPECT_TRUE(selection.plan(Start + 3s).release.empty());
     EXPECT_TRUE(selection.plan(Start + 4s).release.empty());
     EXPECT_EQ(selection.plan(Start + 6s).release, next);
 }
 
-// Guards against a storm of dials when all connections of an instance are lost at once.
+// Guards against a storm of dials when an instance loses all its connections at once.
 TEST(EntrySelection, AnInstanceThatIsCutOffDialsNoMoreEntriesAtOnceThanItNeeds)
 {
-    EntrySelection selection = knowing("agent", 55);
+    EntrySelection selection = selectionWith("agent", 55);
     for (const std::string &it : connectAll(selection, Start))
         selection.closed(it, Start + 1s);
     std::size_t waiting = 0;
     for (Duration at = 1s; at < 3s; at += 100ms) {
         const std::vector<std::string> dialled = selection.plan(Start + at).dial;
-        EXPECT_LE(dialled.size(), Links);
+        EXPECT_LE(dialled.size(), ConnectionCount);
         for (const std::string &it : dialled)
             selection.dialled(it, Start + at);
         waiting += dialled.size();
@@ -121,9 +128,10 @@
     EXPECT_LE(waiting, 55U);
 }
 
+// Guards against dialling a lost entry at a constant high rate, or too seldom.
 TEST(EntrySelection, ALostEntryIsDialledAgainAtGrowingPauses)
 {
-    EntrySelection selection = knowing("agent", 1);
+    EntrySelection selection = selectionWith("agent", 1);
     const std::string only = addressOf(0);
     int dials = 0;
     for (Duration at = 0s; at < 10s; at += 10ms)
@@ -132,9 +140,10 @@
     EXPECT_LE(dials, 20);
 }
 
+// Guards against waiting for a redial delay of up to 1 s when others report that the entry is up.
 TEST(EntrySelection, AnEntryThatOthersHearIsDialledAtOnce)
 {
-    EntrySelection selection = knowing("agent", 1);
+    EntrySelection selection = selectionWith("agent", 1);
     const std::string only = addressOf(0);
     for (Duration at = 0s; at < 5s; at += 10ms)
         connectAll(selection, Start + at, {only});
@@ -144,7 +153,8 @@
     EXPECT_EQ(selection.plan(now).dial, std::vector{only});
 }
 
-// A fleet that starts as a whole knows the same few entries; each process begins with one of them.
+// Guards against a fleet whose processes all connect to the same seed entry: a fleet that starts as
+// a whole knows the same few entries, and each process begins with one of them.
 TEST(EntrySelection, OneSeedIsEnoughToBeginWith)
 {
     std::map<std::string, int> agentsOf;
