--- a/src/dispatchmessages.h
+++ b/src/dispatchmessages.h
@@ -1,5 +1,6 @@
-// Messages between entries and agents for best-effort jobs. An agent connects to some of the
-// entries (entryselection.h); a message belongs to the connection that it came on.
+// Messages between the processes of best-effort dispatch. An agent connects to some of the entries
+// (entryselection.h), and entries connect to each other. A message belongs to the connection that
+// it came on. Messages on one connection arrive in order.
 
 #pragma once
 
@@ -12,46 +13,47 @@
 
 namespace cactuscove {
 
-// First message in each direction on a new connection.
+// The first message in each direction on a new connection.
 struct PeerHello
 {
-    std::string name;     // of the instance, the same across restarts
-    Incarnation instance; // of this run of the process
+    std::string name;     // name of the instance, the same across restarts
+    Incarnation instance; // this process of the instance
     Role role = Role::Agent;
     std::string dataCentre;
-    std::string address; // where entries accept connections; empty for an agent
+    std::string address; // where an entry accepts connections, "ip:port"; empty for an agent
 };
 
-// Keeps a connection alive on which nothing else is sent, and relates the two clocks. A clock here
-// is the time since the boot of the sender's machine and counts suspension.
+// Keeps a connection alive on which nothing else is sent, and relates the clocks of both sides. A
+// clock in these messages is the time since the boot of the sender's machine, counting suspension.
 struct PeerHeartbeat
 {
-    TimePoint sentAt;          // sender's clock
-    std::uint32_t entries = 0; // entries that the sender hears, itself included
+    TimePoint sentAt; // sender's clock
+    // Number of entries that an agent has a connection to; 0 from an entry.
+    std::uint32_t entries = 0;
 };
 
-// Addresses at which entries accept connections, so that a process that knows one finds the others:
-// all of them after the hello, then those that are new.
+// Addresses at which entries accept connections, so that a process that knows one entry finds the
+// others. An entry sends all that it knows after the hello, and then each new one.
 struct KnownEntries
 {
     std::vector<std::string> addresses;
 };
 
-// One run of an entry's process.
+// The start of an entry's process.
 struct EntryStart
 {
     std::string address;
     Incarnation instance;
 };
 
-// Entry to all that are connected to it, which pass on what is new to them: processes that wait
-// before they dial a lost entry again need not wait any longer.
+// Entry to all processes that are connected to it; an entry passes on what is new to it. Processes
+// that wait before they dial a lost entry again then dial it at once.
 struct EntriesStarted
 {
     std::vector<EntryStart> starts;
 };
 
-// Entry to agent: run this task once there is room.
+// Entry to agent: run this task as soon as its worker has free capacity.
 struct AssignTask
 {
     TaskId task;
@@ -60,72 +62,78 @@
     std::string queue;
     std::string payload;
     Resources needs;
-    int priority = 0;
-    Duration expectedRun{};
-    TimePoint startDeadline;  // agent's clock; a task that has not started by then is refused
-    TimePoint endDeadline;    // agent's clock; a task that still runs then is stopped
-    TimePoint objectiveTime;  // agent's clock; a later end misses the objective
-    TimePoint schedulingKey;  // the earliest comes first when room is scarce
-    std::uint64_t number = 0; // of this assignment on this connection, from 1
+    int priority = 0;        // of the queue; 0 is the most urgent
+    Duration expectedRun{};  // expected run time
+    TimePoint startDeadline; // agent's clock; a task that has not started by then is refused
+    TimePoint endDeadline;   // agent's clock; a task that still runs then is stopped
+    TimePoint objectiveTime; // agent's clock; a later end misses the objective
+    // Agent's clock; when capacity is short, the task with the earliest key starts first.
+    TimePoint schedulingKey;
+    std::uint64_t number = 0; // number of this assignment on this connection, from 1
 };
 
-// Entry to agent: do not start the task, or stop it.
+// Entry to agent: do not start this attempt, or stop it. The agent confirms with StartRefused or
+// TaskEnded.
 struct WithdrawTask
 {
     TaskId task;
     std::uint32_t attempt = 0;
 };
 
-// Agent to entry: a worker beside the agent, on each change.
+// Agent to entry: a worker of the agent's machine; sent on each change.
 struct WorkerUpdate
 {
     WorkerInfo worker;
-    bool isGone = false;
+    bool isGone = false; // the worker has left, or takes no more tasks of this entry
 };
 
-// Tasks of one priority that wait at a worker.
+// Resources that the tasks of one priority need that wait at a worker.
 struct QueuedDemand
 {
     int priority = 0;
-    Resources needs; // sum
+    Resources needs; // sum over these tasks
 };
 
-// Agent to entry: what is left of a worker's room, on each change.
+// Agent to entry: the load of a worker, sent after changes.
 struct WorkerLoad
 {
     std::string workerId;
-    Resources free;                   // less what runs; none if the worker takes no tasks
-    std::vector<QueuedDemand> queued; // the most urgent first
-    double coreReleaseRate = 0;       // cores that running tasks are expected to give back in a ms
-    bool isUsable = false;            // takes tasks
-    double slowness = 1;              // run times here against the entries' expectation
-    double failureRate = 0;           // of the newest ends
-    std::uint64_t assignments = 0;    // newest AssignTask::number that `free` takes into account
+    Resources free;                   // capacity less the needs of all started tasks
+    std::vector<QueuedDemand> queued; // waiting tasks, the most urgent priority first
+    double coreReleaseRate = 0;       // cores per ms that running tasks are expected to release
+    bool isUsable = false;            // the worker takes tasks
+    double slowness = 1;              // run times here as a multiple of the expected ones
+    double failureRate = 0;           // share of failed tasks among the newest ends, 0 to 1
+    // Newest AssignTask::number of the entry that this load takes into account.
+    std::uint64_t assignments = 0;
 };
 
+// Agent to entry: the attempt runs.
 struct TaskStarted
 {
     TaskId task;
     std::uint32_t attempt = 0;
 };
 
-// Agent to entry, at most once for each attempt: its worker is slow, and by its progress the task
+// Agent to entry, at most once for each attempt: the worker is slow, and by its progress the task
 // will miss its objective.
 struct TaskLate
 {
     TaskId task;
     std::uint32_t attempt = 0;
-    Duration remaining{}; // by its progress so far
+    Duration remaining{}; // remaining run time by its progress so far
 };
 
+// Agent to entry: the run has ended.
 struct TaskEnded
 {
     TaskId task;
     std::uint32_t attempt = 0;
     TaskEnd end = TaskEnd::Lost;
-    Duration runTime{};
+    Duration runTime{}; // since the first start was sent to the worker
 };
 
+// Agent to entry: the attempt was not started and never will be.
 struct StartRefused
 {
     TaskId task;
@@ -133,19 +141,19 @@
     StartRefusal reason = StartRefusal::Expired;
 };
 
-// Agent to entry, after its hello and when more workers are clear: every task of this entry that
-// the agent knows. An assignment of an older connection that is missing here was not received and
-// never will be.
+// Agent to entry, after its hello and whenever the list of orphan-free workers has changed: every
+// task of this entry that the agent knows. An assignment on an older connection that is missing
+// here was not received and never will be.
 struct TaskInventory
 {
-    std::vector<TaskStarted> started; // and not ended
-    std::vector<TaskStarted> waiting; // accepted and not started
-    std::vector<TaskEnded> ended;     // lately
-    // Workers at which nothing runs that an earlier process of the agent started.
+    std::vector<TaskStarted> started; // started and not ended
+    std::vector<TaskStarted> waiting; // accepted, and not known to have started
+    std::vector<TaskEnded> ended;     // ended in the last seconds
+    // Ids of the workers at which nothing runs that an earlier process of the agent started.
     std::vector<std::string> orphanFreeWorkers;
 };
 
-// New types come last: the position is the type's number on the wire.
+// New types must be added at the end: the position is the type's number in encoded messages.
 using PeerMessage = std::variant<PeerHello, PeerHeartbeat, KnownEntries, AssignTask, WithdrawTask,
                                  WorkerUpdate, WorkerLoad, TaskStarted, TaskLate, TaskEnded,
                                  StartRefused, TaskInventory, EntriesStarted>;
--- a/src/dispatchtypes.cpp
+++ b/src/dispatchtypes.cpp
@@ -1,4 +1,4 @@
-// Names of the enumerations, as in logs and metrics, and the choice of a queue.
+// Names of enumerators, as used in logs and metrics, and the choice of a queue.
 
 #include "dispatchtypes.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Host names compare without regard to case; the port does not matter.
+// Host names compare without regard to case, and a port of `host` does not matter.
 bool isSameHost(std::string_view configured, std::string_view host)
 {
     host = host.substr(0, host.rfind(':'));
