--- a/tests/dispatchfleet.cpp
+++ b/tests/dispatchfleet.cpp
@@ -1,4 +1,4 @@
-// Event queue, played workers and links.
+// Event queue, simulated workers, connections and callers.
 
 #include "dispatchfleet.h"
 
@@ -17,15 +17,18 @@
 using namespace std::chrono_literals;
 
 constexpr Duration LinkDelay = 900us;
-constexpr Duration WorkerDelay = 300us; // one way, on the same machine
-constexpr Duration BeatPause = 100ms;
-constexpr Duration HeartbeatPause = 1500ms;
+constexpr Duration WorkerDelay = 300us; // one way; the worker is on the agent's machine
+constexpr Duration HeartbeatInterval = 100ms;
+constexpr Duration WorkerHeartbeatInterval = 1500ms;
 constexpr Duration StopDelay = 20ms;
-constexpr std::uint64_t LivesPerProcess = 1000; // of the identifiers
+// Incarnations of entries and agents: the index is multiplied by IdsPerProcess.
+constexpr std::uint64_t IdsPerProcess = 1000; // successive processes of one entry or agent
 constexpr std::uint64_t FirstAgentId = 1000000;
+// As in dispatchagent.cpp.
 constexpr Duration LeaveTime = 500ms;
+// Time after which a caller without an answer submits its job again.
 constexpr Duration ResubmitPause = 1300ms;
-constexpr double LatePart = 0.2; // of a job's worth, for a late answer
+constexpr double LateValueShare = 0.2; // of a job's value, for a late answer
 constexpr TimePoint Start{std::chrono::hours(1)};
 
 } // namespace
@@ -37,16 +40,16 @@
     {
         std::uint32_t attempt = 0;
         Resources needs;
-        double workMs = 0; // on a worker of speed 1
+        double workMs = 0; // run time on a worker of speed 1
         double doneMs = 0;
         bool isStopping = false;
-        std::uint64_t number = 0; // tells a planned end that no longer applies
+        std::uint64_t number = 0; // a scheduled end with another number no longer applies
     };
 
     struct Worker
     {
         int index = 0;
-        std::uint64_t life = 1;
+        std::uint64_t incarnation = 1;
         bool isUp = true;
         double speed = 1;
         bool isFailing = false;
@@ -57,16 +60,20 @@
         std::uint64_t sequence = 0;
         std::uint64_t endNumber = 0;
         std::map<TaskId, Run> runs;
-        std::map<TaskId, std::uint32_t> highest; // attempt stopped or ended
+        // Highest attempt of each task that was stopped or has ended.
+        std::map<TaskId, std::uint32_t> lastAttempts;
         std::vector<EndedRun> ended;
-        std::vector<std::function<void()>> waitingHolds;
-        std::string id() const { return "w" + std::to_string(index) + "-" + std::to_string(life); }
+        std::vector<std::function<void()>> waitingPolls;
+        std::string id() const
+        {
+            return "w" + std::to_string(index) + "-" + std::to_string(incarnation);
+        }
     };
 
-    // A process with a connection to each process of the other role.
+    // An entry or agent. Its incarnation changes with each new process.
     struct Process
     {
-        std::uint64_t life = 1;
+        std::uint64_t incarnation = 1;
         bool isUp = true;
         TimePoint frozenUntil = Start;
         std::vector<std::function<void()>> held; // inputs during a freeze
@@ -76,7 +83,7 @@
     struct Agent : Process
     {
         std::unique_ptr<TaskRunner> runner;
-        std::uint64_t sentVersion = 0;
+        std::uint64_t sentLoadVersion = 0;
         TimePoint startedAt = Start;
         std::unique_ptr<EntrySelection> selection;
     };
@@ -91,9 +98,9 @@
         bool isUp = false;
         bool isCut = false;
         std::uint64_t generation = 0;
-        TimePoint leavingSince = NeverTime; // the agent needs the entry no longer
-        TimePoint agentHeard = Start;       // of the entry
-        TimePoint entryHeard = Start;
+        TimePoint leavingSince = NeverTime; // since when the agent does not need the entry
+        TimePoint agentHeardAt = Start;     // newest message from the entry
+        TimePoint entryHeardAt = Start;     // newest message from the agent
     };
 
     struct Job
@@ -103,14 +110,14 @@
         std::vector<double> workMs;
         TimePoint firstSentAt;
         TimePoint objectiveAt;
-        Duration patience{};
-        double worth = 0;
+        Duration callerTimeout{};
+        double value = 0;
         bool isAnswered = false;
         bool wasOnlyRefused = true;
-        bool ran = false;
+        bool hasRun = false;
         JobOutcome outcome = JobOutcome::Unknown;
         TimePoint answeredAt;
-        std::uint64_t caller = 0; // of the newest try
+        std::uint64_t caller = 0; // number of the newest submission; 0: none is open
         std::size_t entry = 0;
     };
 
@@ -137,7 +144,7 @@
             Worker &it = workers[i];
             it.index = static_cast<int>(i);
             const bool isThird = i % 3 == 2;
-            it.speed = isThird ? options.fastSpeed : 1;
+            it.speed = isThird ? options.fastWorkerSpeed : 1;
             const double size = isThird && options.largeShare > 0 ? 1.5 : 1;
             it.capacity
                 = {static_cast<std::int64_t>(static_cast<double>(options.workerCpuMillis) * size),
@@ -147,10 +154,10 @@
             startEntry(i);
         for (std::size_t i = 0; i < agents.size(); ++i)
             startAgent(i);
-        planBeats();
+        sendHeartbeats();
         for (std::size_t i = 0; i < workers.size(); ++i)
-            heartbeat(i, workers[i].life);
-        planJobs();
+            sendWorkerHeartbeat(i, workers[i].incarnation);
+        scheduleJobs();
     }
 
     // Events
@@ -177,18 +184,19 @@
         return std::max(mean * 0.1, std::normal_distribution<double>(mean, deviation)(random));
     }
 
-    // Runs an input of a process now, or when it wakes; not at all once that process is gone.
+    // Runs an input of a process now, or when it resumes after a freeze; never if the process ends
+    // before that.
     template <typename P>
-    void input(P &process, std::function<void()> action)
+    void deliver(P &process, std::function<void()> action)
     {
         if (!process.isUp)
             return;
         if (process.frozenUntil <= now)
             return action();
-        const std::uint64_t life = process.life;
-        post(process.frozenUntil, [this, &process, life, action = std::move(action)] {
-            if (process.life == life)
-                input(process, action);
+        const std::uint64_t incarnation = process.incarnation;
+        post(process.frozenUntil, [this, &process, incarnation, action = std::move(action)] {
+            if (process.incarnation == incarnation)
+                deliver(process, action);
         });
     }
 
@@ -196,11 +204,11 @@
 
     Incarnation entryId(std::size_t i) const
     {
-        return Incarnation{LivesPerProcess * (i + 1) + entries[i].life};
+        return Incarnation{IdsPerProcess * (i + 1) + entries[i].incarnation};
     }
     Incarnation agentId(std::size_t i) const
     {
-        return Incarnation{FirstAgentId + LivesPerProcess * i + agents[i].life};
+        return Incarnation{FirstAgentId + IdsPerProcess * i + agents[i].incarnation};
     }
 
     void startEntry(std::size_t i)
@@ -219,7 +227,7 @@
 
     void stepEntry(std::size_t i, const std::function<void(JobDispatcher &, DispatcherOutbox &)> &f)
     {
-        input(entries[i], [this, i, f] {
+        deliver(entries[i], [this, i, f] {
             DispatcherOutbox out;
             f(*entries[i].dispatcher, out);
             entries[i].dispatcher->processPending(now, out);
@@ -242,9 +250,9 @@
         if (next == NeverTime || next == it.timerAt)
             return;
         it.timerAt = next;
-        const std::uint64_t life = it.life;
-        post(std::max(next, now + 1us), [this, i, life, next] {
-            if (entries[i].life != life || entries[i].timerAt != next)
+        const std::uint64_t incarnation = it.incarnation;
+        post(std::max(next, now + 1us), [this, i, incarnation, next] {
+            if (entries[i].incarnation != incarnation || entries[i].timerAt != next)
                 return;
             entries[i].timerAt = NeverTime;
             stepEntry(i, [](JobDispatcher &, DispatcherOutbox &) {});
@@ -263,7 +271,7 @@
             = std::make_unique<EntrySelection>("agent" + std::to_string(i), options.linksPerAgent);
         for (std::size_t e = 0; e < entries.size(); ++e)
             it.selection->add(addressOf(e));
-        it.sentVersion = 0;
+        it.sentLoadVersion = 0;
         it.startedAt = now;
     }
 
@@ -272,7 +280,7 @@
 
     void stepAgent(std::size_t i, const std::function<void(TaskRunner &, RunnerOutbox &)> &f)
     {
-        input(agents[i], [this, i, f] {
+        deliver(agents[i], [this, i, f] {
             RunnerOutbox out;
             f(*agents[i].runner, out);
             agents[i].runner->processPending(now, out);
@@ -289,14 +297,14 @@
                 callWorker(i, *start);
             else if (auto *stop = std::get_if<StopRun>(&effect))
                 callWorker(i, *stop);
-            else if (auto *hold = std::get_if<PollRuns>(&effect))
-                callWorker(i, *hold);
+            else if (auto *poll = std::get_if<PollRuns>(&effect))
+                callWorker(i, *poll);
             else if (auto *event = std::get_if<LogEvent>(&effect))
                 trace("agent" + std::to_string(i), *event);
         }
         Agent &it = agents[i];
-        if (it.runner->loadVersion() != it.sentVersion) {
-            it.sentVersion = it.runner->loadVersion();
+        if (it.runner->loadVersion() != it.sentLoadVersion) {
+            it.sentLoadVersion = it.runner->loadVersion();
             for (std::size_t e = 0; e < entries.size(); ++e)
                 sendLoads(i, e);
         }
@@ -304,9 +312,9 @@
         if (next == NeverTime || next == it.timerAt)
             return;
         it.timerAt = next;
-        const std::uint64_t life = it.life;
-        post(std::max(next, now + 1us), [this, i, life, next] {
-            if (agents[i].life != life || agents[i].timerAt != next)
+        const std::uint64_t incarnation = it.incarnation;
+        post(std::max(next, now + 1us), [this, i, incarnation, next] {
+            if (agents[i].incarnation != incarnation || agents[i].timerAt != next)
                 return;
             agents[i].timerAt = NeverTime;
             stepAgent(i, [](TaskRunner &, RunnerOutbox &) {});
@@ -324,7 +332,7 @@
         }
     }
 
-    // Prints the events of one job: DISPATCH_TRACE=job17.
+    // Prints the events of one job, and those of workers: DISPATCH_TRACE=job17.
     void trace(const std::string &who, const LogEvent &event) const
     {
         static const char *const job = std::getenv("DISPATCH_TRACE");
@@ -340,11 +348,12 @@
             std::printf("%s\n", line.c_str());
     }
 
-    // Links: in order, lost when cut, none after a new connection
+    // Connections: messages arrive in order, are lost while a connection is cut, and after a new
+    // connection none of the older one arrives
 
     void sendToAgent(std::size_t entry, Incarnation to, PeerMessage message)
     {
-        const std::size_t a = (to.value - FirstAgentId) / LivesPerProcess;
+        const std::size_t a = (to.value - FirstAgentId) / IdsPerProcess;
         Link &link = links[entry][a];
         if (agentId(a) == to && link.isUp && !link.isCut) {
             const std::uint64_t generation = link.generation;
@@ -357,7 +366,7 @@
                                                                          RunnerOutbox &out) {
                     if (links[entry][a].generation != generation)
                         return;
-                    links[entry][a].agentHeard = now;
+                    links[entry][a].agentHeardAt = now;
                     runner.onEntryHeard(from, now, out);
                     if (const auto *assign = std::get_if<AssignTask>(&message))
                         runner.onAssign(from, *assign, now, out);
@@ -370,7 +379,7 @@
 
     void sendToEntry(std::size_t agent, Incarnation to, PeerMessage message)
     {
-        const std::size_t e = to.value / LivesPerProcess - 1;
+        const std::size_t e = to.value / IdsPerProcess - 1;
         Link &link = links[e][agent];
         if (entryId(e) == to && link.isUp && !link.isCut) {
             const std::uint64_t generation = link.generation;
@@ -383,7 +392,7 @@
                                                                          DispatcherOutbox &out) {
                     if (links[e][agent].generation != generation)
                         return;
-                    links[e][agent].entryHeard = now;
+                    links[e][agent].entryHeardAt = now;
                     dispatcher.onMessage(from, message, now, out);
                 });
             });
@@ -397,7 +406,7 @@
         link.leavingSince = NeverTime;
         agents[a].selection->opened(addressOf(e));
         ++link.generation;
-        link.agentHeard = link.entryHeard = now;
+        link.agentHeardAt = link.entryHeardAt = now;
         const PeerHello hello{"agent" + std::to_string(a), agentId(a), Role::Agent, "", ""};
         stepEntry(e, [this, hello](JobDispatcher &dispatcher, DispatcherOutbox &out) {
             dispatcher.onAgentConnected(hello, now, out);
@@ -405,7 +414,7 @@
         const Incarnation entry = entryId(e);
         stepAgent(a, [this, e, a, entry](TaskRunner &runner, RunnerOutbox &out) {
             runner.onEntryHello(entry, "entry" + std::to_string(e), now, out);
-            sendToEntry(a, entry, PeerHeartbeat{now, linksOf(a)});
+            sendToEntry(a, entry, PeerHeartbeat{now, connectedEntriesOf(a)});
             sendToEntry(a, entry, runner.inventoryOf(entry));
             for (const WorkerUpdate &update : runner.workers())
                 sendToEntry(a, entry, update);
@@ -427,7 +436,7 @@
         });
     }
 
-    std::uint32_t linksOf(std::size_t agent) const
+    std::uint32_t connectedEntriesOf(std::size_t agent) const
     {
         std::uint32_t n = 0;
         for (const std::vector<Link> &it : links)
@@ -435,7 +444,7 @@
         return n;
     }
 
-    // What the agent's shell does with its choice of entries.
+    // Carries out the agent's choice of entries, as dispatchagent.cpp does.
     void selectEntries(std::size_t a)
     {
         Agent &agent = agents[a];
@@ -470,7 +479,7 @@
         }
     }
 
-    void planBeats()
+    void sendHeartbeats()
     {
         for (std::size_t a = 0; a < agents.size(); ++a)
             selectEntries(a);
@@ -478,7 +487,7 @@
             for (std::size_t a = 0; a < agents.size(); ++a) {
                 Link &link = links[e][a];
                 const bool isSilent
-                    = now - link.agentHeard > 350ms || now - link.entryHeard > 350ms;
+                    = now - link.agentHeardAt > 350ms || now - link.entryHeardAt > 350ms;
                 if (link.isUp && isSilent)
                     disconnect(e, a);
                 if (!link.isUp)
@@ -488,20 +497,21 @@
                 if (agents[a].isUp && agents[a].frozenUntil <= now) {
                     if (now - agents[a].startedAt < 5s)
                         sendToEntry(a, entryId(e), agents[a].runner->inventoryOf(entryId(e)));
-                    sendToEntry(a, entryId(e), PeerHeartbeat{now, linksOf(a)});
+                    sendToEntry(a, entryId(e), PeerHeartbeat{now, connectedEntriesOf(a)});
                 }
             }
-        post(now + BeatPause, [this] { planBeats(); });
+        post(now + HeartbeatInterval, [this] { sendHeartbeats(); });
     }
 
     // Workers
 
-    void heartbeat(std::size_t i, std::uint64_t life)
+    void sendWorkerHeartbeat(std::size_t i, std::uint64_t incarnation)
     {
         Worker &it = workers[i];
-        if (it.life != life)
+        if (it.incarnation != incarnation)
             return;
-        post(now + HeartbeatPause, [this, i, life] { heartbeat(i, life); });
+        post(now + WorkerHeartbeatInterval,
+             [this, i, incarnation] { sendWorkerHeartbeat(i, incarnation); });
         if (!it.isUp)
             return;
         WorkerInfo info;
@@ -521,55 +531,57 @@
         return WorkerClock{static_cast<std::int64_t>(toMs(now - it.bornAt))};
     }
 
-    // Carries out `order` at the worker and passes its reply to the agent, or loses it.
+    // Executes `order` at the worker and sends its reply to the agent, or loses the reply.
     template <typename Order>
     void callWorker(std::size_t i, const Order &order)
     {
-        const std::uint64_t agentLife = agents[i].life;
-        const bool isLost = uniform() < options.lostAnswers;
+        const std::uint64_t agentIncarnation = agents[i].incarnation;
+        const bool isLost = uniform() < options.lostReplyRate;
         const Duration delay = isLost ? fromMs(2000 + 10000 * uniform()) : WorkerDelay;
         if (isLost)
-            post(now + order.timeout,
-                 [this, i, agentLife, order] { noAnswer(i, agentLife, order); });
-        post(now + delay, [this, i, agentLife, order, isLost] {
+            post(now + order.timeout, [this, i, agentIncarnation, order] {
+                deliverNoReply(i, agentIncarnation, order);
+            });
+        post(now + delay, [this, i, agentIncarnation, order, isLost] {
             Worker &it = workers[i];
             if (!it.isUp) {
                 if (!isLost && options.refusesWhenDown)
-                    refused(i, agentLife, order);
+                    deliverNotSent(i, agentIncarnation, order);
                 else if (!isLost)
-                    post(now + order.timeout,
-                         [this, i, agentLife, order] { noAnswer(i, agentLife, order); });
+                    post(now + order.timeout, [this, i, agentIncarnation, order] {
+                        deliverNoReply(i, agentIncarnation, order);
+                    });
                 return;
             }
             if (it.id() != order.worker)
-                return reply(i, agentLife, order, isLost, true);
-            carryOut(it, order, [this, i, agentLife, order, isLost] {
-                reply(i, agentLife, order, isLost, false);
+                return deliverReply(i, agentIncarnation, order, isLost, true);
+            execute(it, order, [this, i, agentIncarnation, order, isLost] {
+                deliverReply(i, agentIncarnation, order, isLost, false);
             });
         });
     }
 
     template <typename Order>
-    void refused(std::size_t i, std::uint64_t agentLife, const Order &order)
+    void deliverNotSent(std::size_t i, std::uint64_t agentIncarnation, const Order &order)
     {
-        if (agents[i].life != agentLife)
+        if (agents[i].incarnation != agentIncarnation)
             return;
         stepAgent(i, [this, order](TaskRunner &runner, RunnerOutbox &out) {
-            PollReply hold;
-            hold.answer = CallAnswer::NotSent;
+            PollReply poll;
+            poll.answer = CallAnswer::NotSent;
             if constexpr (std::is_same_v<Order, StartRun>)
                 runner.onStartReply(order.call, {StartAnswer::NotSent, std::nullopt}, now, out);
             else if constexpr (std::is_same_v<Order, StopRun>)
                 runner.onStopReply(order.call, {CallAnswer::NotSent, std::nullopt}, now, out);
             else
-                runner.onPollReply(order.call, hold, now, out);
+                runner.onPollReply(order.call, poll, now, out);
         });
     }
 
     template <typename Order>
-    void noAnswer(std::size_t i, std::uint64_t agentLife, const Order &order)
+    void deliverNoReply(std::size_t i, std::uint64_t agentIncarnation, const Order &order)
     {
-        if (agents[i].life != agentLife)
+        if (agents[i].incarnation != agentIncarnation)
             return;
         stepAgent(i, [this, order](TaskRunner &runner, RunnerOutbox &out) {
             if constexpr (std::is_same_v<Order, StartRun>)
@@ -582,14 +594,14 @@
     }
 
     template <typename Order>
-    void reply(std::size_t i, std::uint64_t agentLife, const Order &order, bool isLost,
-               bool isOtherLife)
+    void deliverReply(std::size_t i, std::uint64_t agentIncarnation, const Order &order,
+                      bool isLost, bool isOtherProcess)
     {
         if (isLost)
             return;
-        const auto answer = answerOf(workers[i], order, isOtherLife);
-        post(now + WorkerDelay, [this, i, agentLife, order, answer] {
-            if (agents[i].life != agentLife)
+        const auto answer = replyOf(workers[i], order, isOtherProcess);
+        post(now + WorkerDelay, [this, i, agentIncarnation, order, answer] {
+            if (agents[i].incarnation != agentIncarnation)
                 return;
             stepAgent(i, [this, order, answer](TaskRunner &runner, RunnerOutbox &out) {
                 if constexpr (std::is_same_v<Order, StartRun>)
@@ -602,27 +614,27 @@
         });
     }
 
-    StartReply answerOf(Worker &it, const StartRun &order, bool isOtherLife)
+    StartReply replyOf(Worker &it, const StartRun &order, bool isOtherProcess)
     {
-        if (isOtherLife)
+        if (isOtherProcess)
             return {StartAnswer::OtherProcess, std::nullopt};
         return {startAnswers[order.call.value + 1000000 * static_cast<std::uint64_t>(it.index)],
                 clockOf(it)};
     }
 
-    StopReply answerOf(Worker &it, const StopRun &, bool isOtherLife) const
+    StopReply replyOf(Worker &it, const StopRun &, bool isOtherProcess) const
     {
-        return {isOtherLife ? CallAnswer::OtherProcess : CallAnswer::Ok, clockOf(it)};
+        return {isOtherProcess ? CallAnswer::OtherProcess : CallAnswer::Ok, clockOf(it)};
     }
 
-    PollReply answerOf(Worker &it, const PollRuns &, bool isOtherLife)
+    PollReply replyOf(Worker &it, const PollRuns &, bool isOtherProcess)
     {
         PollReply out;
-        out.answer = isOtherLife ? CallAnswer::OtherProcess : CallAnswer::Ok;
-        if (isOtherLife)
+        out.answer = isOtherProcess ? CallAnswer::OtherProcess : CallAnswer::Ok;
+        if (isOtherProcess)
             return out;
         out.clock = clockOf(it);
-        progress(it);
+        updateProgress(it);
         for (const auto &[task, run] : it.runs)
             out.active.push_back(
                 {task, run.attempt,
@@ -631,7 +643,7 @@
         return out;
     }
 
-    void carryOut(Worker &it, const StartRun &order, const std::function<void()> &done)
+    void execute(Worker &it, const StartRun &order, const std::function<void()> &done)
     {
         StartAnswer &answer
             = startAnswers[order.call.value + 1000000 * static_cast<std::uint64_t>(it.index)];
@@ -644,52 +656,54 @@
         const auto running = it.runs.find(order.task);
         if (running != it.runs.end() && running->second.attempt == order.attempt)
             return StartAnswer::Accepted;
-        const auto highest = it.highest.find(order.task);
-        if (highest != it.highest.end() && order.attempt <= highest->second)
+        const auto lastAttempt = it.lastAttempts.find(order.task);
+        if (lastAttempt != it.lastAttempts.end() && order.attempt <= lastAttempt->second)
             return StartAnswer::OldAttempt;
         if (options.checksDeadlines && clockOf(it) > order.deadline)
             return StartAnswer::Late;
         extendLease(it, order.deadline);
         const auto found = jobsById.find(order.task.jobId);
         Job &job = jobs[found->second];
-        job.ran = true;
+        job.hasRun = true;
         ++startCount;
         trace("worker" + std::to_string(it.index), {Severity::Info,
                                                     "run_started",
                                                     {{"job", order.task.jobId},
                                                      {"task", std::to_string(order.task.index)},
                                                      {"attempt", std::to_string(order.attempt)}}});
-        progress(it);
+        updateProgress(it);
         Run run;
         run.attempt = order.attempt;
         run.needs = job.spec.needs;
-        run.workMs = it.isFailing || uniform() < options.failures ? job.workMs[order.task.index] / 5
-                                                                  : job.workMs[order.task.index];
+        run.workMs = it.isFailing || uniform() < options.failureRate
+                         ? job.workMs[order.task.index] / 5
+                         : job.workMs[order.task.index];
         const bool fails = run.workMs != job.workMs[order.task.index];
-        checkTwice(order.task, it);
+        checkSingleRun(order.task, it);
         it.runs[order.task] = run;
-        checkLimit(it);
-        planEnd(it, order.task, fails);
+        checkCapacity(it);
+        scheduleEnd(it, order.task, fails);
         return StartAnswer::Accepted;
     }
 
-    void planEnd(Worker &it, const TaskId &task, bool fails)
+    void scheduleEnd(Worker &it, const TaskId &task, bool fails)
     {
         Run &run = it.runs.at(task);
         run.number = ++runNumber;
         if (it.speed <= 0)
             return;
         const std::uint64_t number = run.number;
-        const std::uint64_t life = it.life;
+        const std::uint64_t incarnation = it.incarnation;
         post(now + fromMs((run.workMs - run.doneMs) / it.speed),
-             [this, &it, life, task, number, fails] {
+             [this, &it, incarnation, task, number, fails] {
                  const auto found = it.runs.find(task);
-                 if (it.life == life && found != it.runs.end() && found->second.number == number)
+                 if (it.incarnation == incarnation && found != it.runs.end()
+                     && found->second.number == number)
                      endRun(it, task, fails ? TaskEnd::Failed : TaskEnd::Done);
              });
     }
 
-    void progress(Worker &it)
+    void updateProgress(Worker &it)
     {
         const double elapsed = toMs(now - it.progressAt);
         it.progressAt = now;
@@ -699,7 +713,7 @@
 
     void endRun(Worker &it, const TaskId &task, TaskEnd end)
     {
-        progress(it);
+        updateProgress(it);
         const auto node = it.runs.extract(task);
         trace("worker" + std::to_string(it.index),
               {Severity::Info,
@@ -709,32 +723,33 @@
                 {"attempt", std::to_string(node.mapped().attempt)},
                 {"end", std::string(nameOf(end))},
                 {"lease_end_ms", std::to_string(toMs(it.leaseEnd - Start))}}});
-        it.highest[task] = std::max(it.highest[task], node.mapped().attempt);
+        it.lastAttempts[task] = std::max(it.lastAttempts[task], node.mapped().attempt);
         it.ended.push_back({++it.endNumber, task, node.mapped().attempt, end});
-        for (const auto &hold : std::exchange(it.waitingHolds, {}))
-            hold();
+        for (const auto &poll : std::exchange(it.waitingPolls, {}))
+            poll();
     }
 
-    void carryOut(Worker &it, const StopRun &order, const std::function<void()> &done)
+    void execute(Worker &it, const StopRun &order, const std::function<void()> &done)
     {
         const auto found = it.runs.find(order.task);
         if (found == it.runs.end() || found->second.attempt > order.attempt) {
-            it.highest[order.task] = std::max(it.highest[order.task], order.attempt);
+            it.lastAttempts[order.task] = std::max(it.lastAttempts[order.task], order.attempt);
         } else if (!found->second.isStopping) {
             found->second.isStopping = true;
-            found->second.number = ++runNumber; // it ends by the stop
-            const std::uint64_t life = it.life;
+            found->second.number = ++runNumber; // cancels the scheduled end; the stop ends the run
+            const std::uint64_t incarnation = it.incarnation;
             const std::uint64_t number = found->second.number;
-            post(now + StopDelay, [this, &it, life, task = order.task, number] {
+            post(now + StopDelay, [this, &it, incarnation, task = order.task, number] {
                 const auto run = it.runs.find(task);
-                if (it.life == life && run != it.runs.end() && run->second.number == number)
+                if (it.incarnation == incarnation && run != it.runs.end()
+                    && run->second.number == number)
                     endRun(it, task, TaskEnd::Stopped);
             });
         }
         done();
     }
 
-    void carryOut(Worker &it, const PollRuns &order, const std::function<void()> &done)
+    void execute(Worker &it, const PollRuns &order, const std::function<void()> &done)
     {
         std::erase_if(it.ended,
                       [&](const EndedRun &end) { return end.number <= order.acknowledged; });
@@ -747,10 +762,10 @@
             if (!std::exchange(*isDone, true))
                 done();
         };
-        it.waitingHolds.push_back(once);
-        const std::uint64_t life = it.life;
-        post(now + order.wait, [&it, life, once] {
-            if (it.life == life)
+        it.waitingPolls.push_back(once);
+        const std::uint64_t incarnation = it.incarnation;
+        post(now + order.wait, [&it, incarnation, once] {
+            if (it.incarnation == incarnation)
                 once();
         });
     }
@@ -762,9 +777,9 @@
         if (end <= it.leaseEnd)
             return;
         it.leaseEnd = end;
-        const std::uint64_t life = it.life;
-        post(end + 1us, [this, &it, life] {
-            if (it.life != life || now <= it.leaseEnd)
+        const std::uint64_t incarnation = it.incarnation;
+        post(end + 1us, [this, &it, incarnation] {
+            if (it.incarnation != incarnation || now <= it.leaseEnd)
                 return;
             std::vector<TaskId> lapsed;
             for (const auto &[task, run] : it.runs)
@@ -774,9 +789,9 @@
         });
     }
 
-    // Promises
+    // Guarantees
 
-    void checkTwice(const TaskId &task, const Worker &starting)
+    void checkSingleRun(const TaskId &task, const Worker &starting)
     {
         for (const Worker &it : workers)
             if (it.isUp && it.runs.count(task))
@@ -786,7 +801,7 @@
                                      + std::to_string(toMs(now - Start)));
     }
 
-    void checkLimit(const Worker &it)
+    void checkCapacity(const Worker &it)
     {
         Resources used;
         for (const auto &[task, run] : it.runs)
@@ -798,23 +813,23 @@
 
     // Callers
 
-    void planJobs()
+    void scheduleJobs()
     {
         for (const JobKind &kind : options.kinds) {
             double atMs = 0;
             while (true) {
                 const Duration at = fromMs(atMs);
-                const double factor = options.burst ? options.burst(kind, at) : 1;
-                atMs += std::exponential_distribution<double>(kind.perSecond * factor
+                const double factor = options.rateFactor ? options.rateFactor(kind, at) : 1;
+                atMs += std::exponential_distribution<double>(kind.jobsPerSecond * factor
                                                               / 1000)(random);
                 if (fromMs(atMs) > options.length)
                     break;
-                planJob(kind, Start + 3s + fromMs(atMs));
+                scheduleJob(kind, Start + 3s + fromMs(atMs));
             }
         }
     }
 
-    void planJob(const JobKind &kind, TimePoint at)
+    void scheduleJob(const JobKind &kind, TimePoint at)
     {
         Job job;
         job.kind = &kind;
@@ -826,21 +841,22 @@
                64, 0};
         job.spec.taskCount = static_cast<std::uint32_t>(
             std::max(1.0, std::round(positiveNormal(kind.meanTasks, 0.4 * kind.meanTasks))));
-        const double jobMs = positiveNormal(kind.meanMs, kind.spread * kind.meanMs);
+        const double jobMs = positiveNormal(kind.meanRunMs, kind.runTimeSpread * kind.meanRunMs);
         job.spec.declared = fromMs(jobMs * (1 + 0.4 * (2 * uniform() - 1)));
         double longest = 0;
         double sum = 0;
         for (std::uint32_t i = 0; i < job.spec.taskCount; ++i) {
-            job.workMs.push_back(positiveNormal(jobMs, kind.uneven * jobMs));
+            job.workMs.push_back(positiveNormal(jobMs, kind.taskSpread * jobMs));
             longest = std::max(longest, job.workMs.back());
             sum += job.workMs.back();
         }
         job.firstSentAt = at;
         job.objectiveAt = at + fromMs(1.6 * longest + 60);
-        job.patience = fromMs(1500 + 3 * (1.6 * longest + 60));
-        const double work = sum * static_cast<double>(job.spec.needs.cpuMillis)
-                            / (kind.meanMs * kind.meanTasks * static_cast<double>(kind.cpuMillis));
-        job.worth = kind.worth * std::min(4.0, 0.3 + 0.7 * work);
+        job.callerTimeout = fromMs(1500 + 3 * (1.6 * longest + 60));
+        const double work
+            = sum * static_cast<double>(job.spec.needs.cpuMillis)
+              / (kind.meanRunMs * kind.meanTasks * static_cast<double>(kind.cpuMillis));
+        job.value = kind.value * std::min(4.0, 0.3 + 0.7 * work);
         const std::size_t number = jobs.size();
         jobsById[job.spec.id] = number;
         jobs.push_back(std::move(job));
@@ -850,7 +866,7 @@
     void sendJob(std::size_t number)
     {
         std::vector<std::size_t> up;
-        const double busy = options.busyEntries * static_cast<double>(entries.size());
+        const double busy = options.usedEntryShare * static_cast<double>(entries.size());
         for (std::size_t i = 0; i < entries.size() && static_cast<double>(i) < busy; ++i)
             if (entries[i].isUp)
                 up.push_back(i);
@@ -867,20 +883,21 @@
         job.caller = caller;
         job.entry = e;
         callers[caller] = number;
-        const std::uint64_t life = entries[e].life;
+        const std::uint64_t incarnation = entries[e].incarnation;
         stepEntry(e, [this, caller, number](JobDispatcher &dispatcher, DispatcherOutbox &out) {
             // The HTTP server drops a request whose caller has closed the connection meanwhile.
             if (jobs[number].caller != caller)
                 return;
-            dispatcher.submit(CallerId{caller}, jobs[number].spec, jobs[number].patience, now, out);
+            dispatcher.submit(CallerId{caller}, jobs[number].spec, jobs[number].callerTimeout, now,
+                              out);
         });
-        // The caller gives up, or loses its connection with the process, and comes back.
-        post(now + job.patience, [this, number, caller, e, life] {
+        // The caller gives up, or loses its connection with the process, and submits the job again.
+        post(now + job.callerTimeout, [this, number, caller, e, incarnation] {
             if (jobs[number].isAnswered || jobs[number].caller != caller)
                 return;
             jobs[number].wasOnlyRefused = false;
             jobs[number].caller = 0;
-            if (entries[e].life == life)
+            if (entries[e].incarnation == incarnation)
                 stepEntry(e, [this, caller](JobDispatcher &dispatcher, DispatcherOutbox &out) {
                     dispatcher.callerDisconnected(CallerId{caller}, now, out);
                 });
@@ -911,7 +928,7 @@
         job.answeredAt = now;
     }
 
-    void loseCallersOf(std::size_t e)
+    void disconnectCallersOf(std::size_t e)
     {
         for (std::size_t i = 0; i < jobs.size(); ++i) {
             Job &job = jobs[i];
@@ -926,25 +943,25 @@
     std::map<std::string, KindResult> results() const
     {
         std::map<std::string, KindResult> out;
-        std::map<std::string, std::pair<double, double>> worth;
+        std::map<std::string, std::pair<double, double>> values;
         for (const Job &job : jobs) {
             KindResult &it = out[job.kind->queue];
-            ++it.asked;
+            ++it.submitted;
             const bool isDone = job.isAnswered && job.outcome == JobOutcome::Completed;
-            const bool inAim = isDone && job.answeredAt <= job.objectiveAt;
-            it.inAim += inAim;
-            it.late += isDone && !inAim;
+            const bool onTime = isDone && job.answeredAt <= job.objectiveAt;
+            it.onTime += onTime;
+            it.late += isDone && !onTime;
             const bool isRefused = job.isAnswered && job.outcome == JobOutcome::Refused;
             it.refused += isRefused;
             it.other += !isDone && !isRefused;
             if (isRefused)
                 it.slowestRefusal
                     = std::max<Duration>(it.slowestRefusal, job.answeredAt - job.firstSentAt);
-            worth[job.kind->queue].first += job.worth * (inAim ? 1 : isDone ? LatePart : 0);
-            worth[job.kind->queue].second += job.worth;
+            values[job.kind->queue].first += job.value * (onTime ? 1 : isDone ? LateValueShare : 0);
+            values[job.kind->queue].second += job.value;
         }
         for (auto &[queue, it] : out)
-            it.worth = worth[queue].first / worth[queue].second;
+            it.valueShare = values[queue].first / values[queue].second;
         return out;
     }
 
@@ -952,7 +969,7 @@
     {
         for (const Job &job : jobs)
             if (job.isAnswered && job.outcome == JobOutcome::Refused && job.wasOnlyRefused
-                && job.ran)
+                && job.hasRun)
                 violations.push_back(job.spec.id + " was refused and ran");
     }
 
@@ -979,7 +996,7 @@
     std::vector<Worker> workers;
     std::vector<Agent> agents;
     std::vector<Entry> entries;
-    std::vector<std::vector<Link>> links; // by entry, agent
+    std::vector<std::vector<Link>> links; // by entry and agent
     std::vector<Job> jobs;
     std::map<std::string, std::size_t> jobsById;
     std::map<std::uint64_t, std::size_t> callers;
@@ -993,7 +1010,7 @@
 
 DispatchFleet::~DispatchFleet() = default;
 
-void DispatchFleet::at(Duration time, std::function<void()> fault)
+void DispatchFleet::schedule(Duration time, std::function<void()> fault)
 {
     m_impl->post(Start + 3s + time, std::move(fault));
 }
@@ -1005,10 +1022,10 @@
     for (std::size_t e = 0; e < it.entries.size(); ++e)
         it.disconnect(e, i);
     it.agents[i].isUp = false;
-    ++it.agents[i].life;
+    ++it.agents[i].incarnation;
     it.agents[i].timerAt = NeverTime;
-    it.post(it.now + down, [this, i, life = it.agents[i].life] {
-        if (m_impl->agents[i].life == life)
+    it.post(it.now + down, [this, i, incarnation = it.agents[i].incarnation] {
+        if (m_impl->agents[i].incarnation == incarnation)
             m_impl->startAgent(i);
     });
 }
@@ -1024,11 +1041,11 @@
         ++it.links[i][a].generation;
     }
     it.entries[i].isUp = false;
-    ++it.entries[i].life;
+    ++it.entries[i].incarnation;
     it.entries[i].timerAt = NeverTime;
-    it.loseCallersOf(i);
-    it.post(it.now + down, [this, i, life = it.entries[i].life] {
-        if (m_impl->entries[i].life == life)
+    it.disconnectCallersOf(i);
+    it.post(it.now + down, [this, i, incarnation = it.entries[i].incarnation] {
+        if (m_impl->entries[i].incarnation == incarnation)
             m_impl->startEntry(i);
     });
 }
@@ -1045,7 +1062,7 @@
     until = std::max(until, m_impl->now + length);
 }
 
-void DispatchFleet::cut(int entry, int agent, bool isCut)
+void DispatchFleet::setCut(int entry, int agent, bool isCut)
 {
     m_impl->links[static_cast<std::size_t>(entry)][static_cast<std::size_t>(agent)].isCut = isCut;
 }
@@ -1054,32 +1071,32 @@
 {
     Impl::Worker &it = m_impl->workers[static_cast<std::size_t>(worker)];
     it.isUp = false;
-    ++it.life;
+    ++it.incarnation;
     it.runs.clear();
     it.ended.clear();
-    it.highest.clear();
-    it.waitingHolds.clear();
+    it.lastAttempts.clear();
+    it.waitingPolls.clear();
     it.endNumber = 0;
     it.sequence = 0;
     const auto i = static_cast<std::size_t>(worker);
-    m_impl->post(m_impl->now + down, [this, i, life = it.life] {
+    m_impl->post(m_impl->now + down, [this, i, incarnation = it.incarnation] {
         Impl::Worker &again = m_impl->workers[i];
-        if (again.life != life)
+        if (again.incarnation != incarnation)
             return; // it crashed once more
         again.isUp = true;
         again.bornAt = again.progressAt = again.leaseEnd = m_impl->now;
-        m_impl->heartbeat(i, again.life);
+        m_impl->sendWorkerHeartbeat(i, again.incarnation);
     });
 }
 
 void DispatchFleet::setSpeed(int worker, double speed)
 {
     Impl::Worker &it = m_impl->workers[static_cast<std::size_t>(worker)];
-    m_impl->progress(it);
+    m_impl->updateProgress(it);
     it.speed = speed;
     for (auto &[task, run] : it.runs)
         if (!run.isStopping)
-            m_impl->planEnd(it, task, false);
+            m_impl->scheduleEnd(it, task, false);
 }
 
 void DispatchFleet::setFailing(int worker, bool isFailing)
@@ -1098,19 +1115,19 @@
     return m_impl->results();
 }
 
-double DispatchFleet::worth() const
+double DispatchFleet::valueShare() const
 {
     double earned = 0;
-    double owed = 0;
+    double possible = 0;
     for (const auto &[queue, it] : m_impl->results()) {
         double sum = 0;
         for (const Impl::Job &job : m_impl->jobs)
             if (job.kind->queue == queue)
-                sum += job.worth;
-        earned += it.worth * sum;
-        owed += sum;
+                sum += job.value;
+        earned += it.valueShare * sum;
+        possible += sum;
     }
-    return owed > 0 ? earned / owed : 1;
+    return possible > 0 ? earned / possible : 1;
 }
 
 const std::vector<std::string> &DispatchFleet::violations() const
@@ -1127,7 +1144,7 @@
     return slowest;
 }
 
-std::size_t DispatchFleet::starts() const
+std::size_t DispatchFleet::startCount() const
 {
     return m_impl->startCount;
 }
--- a/tests/dispatchfleet.h
+++ b/tests/dispatchfleet.h
@@ -1,5 +1,6 @@
-// Entries, agents and workers of best-effort dispatch in virtual time: the real decision objects,
-// with workers, links and callers played around them. Checks the promises while it runs.
+// A fleet of best-effort dispatch in virtual time: real decision objects of entries and agents with
+// simulated workers, connections and callers around them. While it runs it checks the guarantees
+// that violations() names.
 
 #pragma once
 
@@ -17,79 +18,92 @@
 
 namespace cactuscove {
 
-// One kind of job, with the figures of its load.
+// One kind of job and how much load it makes. Random values are drawn for each job.
 struct JobKind
 {
-    std::string queue;
-    int priority = 0;
-    double perSecond = 0;
-    double meanMs = 0;    // run time of a task
-    double spread = 0.4;  // standard deviation of the job's run times, as a part of the mean
-    double uneven = 0.15; // of the tasks in a job
-    double meanTasks = 1;
-    std::int64_t cpuMillis = 1000;
-    double worth = 1; // of a job of mean work
+    std::string queue;        // name of the queue; one for each kind
+    int priority = 0;         // of the queue; 0 is the most urgent
+    double jobsPerSecond = 0; // mean rate of new jobs, over all entries
+    double meanRunMs = 0;     // mean run time of a task at speed 1
+    // Standard deviation of the run times of jobs, as a part of the mean.
+    double runTimeSpread = 0.4;
+    double taskSpread = 0.15;      // the same for the run times of the tasks in a job
+    double meanTasks = 1;          // mean number of tasks in a job
+    std::int64_t cpuMillis = 1000; // mean need of a task, in thousandths of a core
+    double value = 1;              // value of a job with the mean amount of work
 };
 
+// Size, load and faults of a fleet. Shares and rates are from 0 to 1.
 struct DispatchFleetOptions
 {
     int entries = 3;
     int workers = 11;
-    std::size_t linksPerAgent = 8; // entries that an agent is connected to
-    double busyEntries = 1;        // share of the entries that callers come to
-    std::int64_t workerCpuMillis = 32000;
-    double largeShare = 0; // of workers with half as much again
-    double fastSpeed = 1;  // of every third worker
-    std::vector<JobKind> kinds;
-    Duration length = std::chrono::seconds(20);
-    // Multiplies a kind's rate at a time; empty: always 1.
-    std::function<double(const JobKind &kind, Duration at)> burst;
-    double lostAnswers = 0; // share of worker calls that are carried out late and never answered
-    bool checksDeadlines = true;  // a worker refuses a start after its deadline
-    bool refusesWhenDown = false; // a worker that is down refuses connections, else it is silent
-    double failures = 0.002;
+    std::size_t linksPerAgent = 8;        // entries that each agent keeps connections to
+    double usedEntryShare = 1;            // share of the entries that callers connect to
+    std::int64_t workerCpuMillis = 32000; // capacity of a worker, in thousandths of a core
+    double largeShare = 0;                // above 0, every third worker has 1.5 times the capacity
+    double fastWorkerSpeed = 1;           // speed of every third worker; the others have 1
+    std::vector<JobKind> kinds;           // all kinds of jobs
+    Duration length = std::chrono::seconds(20); // jobs are submitted during this time
+    // Factor on the rate of a kind at a time since the first job; empty: always 1.
+    std::function<double(const JobKind &kind, Duration at)> rateFactor;
+    // Share of the calls to workers that are executed 2 to 12 s late and never answered.
+    double lostReplyRate = 0;
+    bool checksDeadlines = true; // workers refuse a start after its deadline
+    // A worker that is down refuses connections; otherwise its calls are not answered.
+    bool refusesWhenDown = false;
+    double failureRate = 0.002; // share of runs that fail
     TaskRunnerSettings runner;
-    std::optional<Duration> lostAgentTimeout; // of the entries; none: their own
+    std::optional<Duration> lostAgentTimeout; // lostAgentTimeout of the entries; none: the default
     std::uint64_t seed = 1;
 };
 
+// What became of the jobs of one kind, as numbers of jobs.
 struct KindResult
 {
-    int asked = 0;
-    int inAim = 0;
-    int late = 0;
+    int submitted = 0;
+    int onTime = 0; // completed within the objective
+    int late = 0;   // completed after the objective
     int refused = 0;
-    int other = 0;    // failed or unknown
-    double worth = 0; // earned / owed
-    Duration slowestRefusal{};
+    int other = 0;             // failed, or without a final answer
+    double valueShare = 0;     // value of the answers / value if every job were on time
+    Duration slowestRefusal{}; // longest time from the first submission to a refusal
 };
 
+// Runs once: plan the faults, call run(), then read the results.
 class DispatchFleet
 {
 public:
     explicit DispatchFleet(DispatchFleetOptions options);
     ~DispatchFleet();
 
-    // Faults, to be planned before run().
-    void at(Duration time, std::function<void()> fault);
+    // Faults. schedule() plans a function at a time after the first job; it is called before run(),
+    // the others at any time.
+    void schedule(Duration time, std::function<void()> fault);
+    // Ends the process; a new one starts after `down`.
     void killAgent(int agent, Duration down);
     void killEntry(int entry, Duration down);
+    // Suspends the process: inputs are handled when it resumes.
     void freezeAgent(int agent, Duration length);
     void freezeEntry(int entry, Duration length);
-    void cut(int entry, int agent, bool isCut); // both ways, silently
+    // While a connection is cut, all messages on it are lost, in both directions.
+    void setCut(int entry, int agent, bool isCut);
+    // The worker and its runs are gone at once; a new process of it starts after `down`.
     void crashWorker(int worker, Duration down);
-    void setSpeed(int worker, double speed); // 0: tasks stand still
+    void setSpeed(int worker, double speed); // 0: tasks make no progress
+    // While this is set, every run on the worker fails after a fifth of its work.
     void setFailing(int worker, bool isFailing);
 
     void run();
 
+    // By queue.
     std::map<std::string, KindResult> results() const;
-    double worth() const; // earned / owed, all kinds
-    // Broken promises: two runs of a task at once, a worker over its capacity, a refused job that
-    // ran.
+    double valueShare() const; // the same as KindResult::valueShare, over all kinds
+    // One text for each violated guarantee: two runs of a task at the same time, a worker over its
+    // capacity, or a job that was refused although a task of it ran.
     const std::vector<std::string> &violations() const;
-    std::size_t starts() const;
-    Duration slowestAnswer() const; // beyond the objective
+    std::size_t startCount() const; // runs that workers have started
+    Duration slowestAnswer() const; // longest time from the objective of a job to its answer
 
 private:
     class Impl;
