--- a/src/taskrunner.cpp
+++ b/src/taskrunner.cpp
@@ -1,4 +1,4 @@
-// Inputs of the task runner: workers, entries and time.
+// Inputs of the task runner from workers and entries, and timeouts.
 
 #include "taskrunner.h"
 
@@ -13,19 +13,25 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration StartSlack = 20ms;      // for a start that is on its way
-constexpr Duration WorkerPatience = 200ms; // without an answer; then the lease is not renewed
-constexpr Duration EndedMemory = 4s;       // an entry that reconnects learns ends up to this old
-constexpr Duration WorkerSilence = 6s;     // several heartbeats
-// Entries are told of bad workers at this pace, as their marks fade.
-constexpr Duration BadTellPause = 200ms;
-constexpr int MaxStartCalls = 4; // then the run is stopped, which leaves a tombstone
+constexpr Duration StartMargin = 20ms; // for a start that is on its way to the worker
+// A worker that leaves polls without a reply for this long is unresponsive: its lease is not
+// renewed.
+constexpr Duration PollTimeout = 200ms;
+// An entry that connects again is told of ends up to this old.
+constexpr Duration EndedTaskRetention = 4s;
+constexpr Duration WorkerTimeout = 6s; // the time of several heartbeats
+// Entries are sent the load of a worker with poor performance at this interval, as its figures
+// recover with time.
+constexpr Duration PoorPerformanceInterval = 200ms;
+// Then the run is stopped: after a stop the worker refuses every start of the attempt, also one
+// that arrives late.
+constexpr int MaxStartCalls = 4;
 
 } // namespace
 
 TaskRunner::TaskRunner(TaskRunnerSettings settings, TimePoint startedAt)
     : m_settings(settings)
-    , m_mayStartAt(startedAt + settings.startWindow + StartSlack)
+    , m_startsAllowedAt(startedAt + settings.startWindow + StartMargin)
 {}
 
 TaskRunner::Worker *TaskRunner::findWorker(std::string_view id)
@@ -34,13 +40,13 @@
     return it == m_workers.end() ? nullptr : &it->second;
 }
 
-bool TaskRunner::isSilent(Incarnation entry, TimePoint now) const
+bool TaskRunner::isEntrySilent(Incarnation entry, TimePoint now) const
 {
     const auto it = m_entries.find(entry);
     return it == m_entries.end() || now - it->second.heardAt > m_settings.entryTimeout;
 }
 
-Resources TaskRunner::used(const Worker &worker) const
+Resources TaskRunner::usedResources(const Worker &worker) const
 {
     Resources sum;
     for (const auto &[id, task] : worker.tasks)
@@ -51,33 +57,34 @@
 
 // Workers
 
-void TaskRunner::beginLife(Worker &worker, const WorkerInfo &info, TimePoint now, RunnerOutbox &out)
+void TaskRunner::beginWorkerProcess(Worker &worker, const WorkerInfo &info, TimePoint now,
+                                    RunnerOutbox &out)
 {
-    loseAllRuns(worker, "worker_restarted", now, out);
+    endAllRunsAsLost(worker, "worker_restarted", now, out);
     Worker fresh;
     for (auto &[id, task] : worker.tasks)
         if (task.state == State::Queued)
             fresh.tasks.emplace(id, std::move(task));
     fresh.info = info;
     fresh.heardAt = now;
-    fresh.listedAt = now;
+    fresh.lastPollReplyAt = now;
     fresh.leaseEnd = now;
     worker = std::move(fresh);
 }
 
 void TaskRunner::onWorkerInfo(const WorkerInfo &info, TimePoint now, RunnerOutbox &out)
 {
-    enter(now, out);
+    expireAfterSuspension(now, out);
     const auto [it, isNew] = m_workers.try_emplace(info.id);
     Worker &worker = it->second;
-    const bool isNewLife = !isNew && info.startedAtUnixMs != worker.info.startedAtUnixMs;
-    // A heartbeat that was delayed on the way says nothing about now.
+    const bool isNewProcess = !isNew && info.startedAtUnixMs != worker.info.startedAtUnixMs;
+    // A heartbeat that was overtaken by a newer one is out of date.
     if (!isNew
         && (info.startedAtUnixMs < worker.info.startedAtUnixMs
-            || (!isNewLife && info.sequence < worker.info.sequence)))
+            || (!isNewProcess && info.sequence < worker.info.sequence)))
         return;
-    if (isNew || isNewLife) {
-        beginLife(worker, info, now, out);
+    if (isNew || isNewProcess) {
+        beginWorkerProcess(worker, info, now, out);
         out.emplace_back(LogEvent{Severity::Info,
                                   "worker_joined",
                                   {{"worker", info.id},
@@ -89,7 +96,7 @@
     WorkerInfo previous = std::exchange(worker.info, info);
     worker.heardAt = now;
     previous.sequence = info.sequence;
-    if (isNew || isNewLife || previous != info) {
+    if (isNew || isNewProcess || previous != info) {
         if (info.isDraining && !previous.isDraining)
             out.emplace_back(
                 LogEvent{Severity::Info,
@@ -107,7 +114,7 @@
     if (it == m_workers.end())
         return;
     Worker &worker = it->second;
-    loseAllRuns(worker, "worker_left", now, out);
+    endAllRunsAsLost(worker, "worker_left", now, out);
     while (!worker.tasks.empty())
         refuseTask(worker, worker.tasks.begin(), StartRefusal::NoWorker, out);
     for (const auto &[entry, state] : m_entries)
@@ -117,16 +124,16 @@
     ++m_loadVersion;
 }
 
-// Ends
+// Ends and refusals of tasks
 
 void TaskRunner::endTask(Worker &worker, std::map<TaskId, Task>::iterator it, TaskEnd end,
                          TimePoint now, RunnerOutbox &out)
 {
     const auto node = worker.tasks.extract(it);
     const Task &task = node.mapped();
-    const Duration runTime = now - task.sentAt;
+    const Duration runTime = now - task.firstSentAt;
     const TaskEnded message{task.assignment.task, task.assignment.attempt, end, runTime};
-    m_ended.push_back({task.entry, message, now});
+    m_endedTasks.push_back({task.entry, message, now});
     out.emplace_back(SendToEntry{task.entry, message});
     out.emplace_back(LogEvent{Severity::Info,
                               "task_ended",
@@ -138,7 +145,8 @@
                                {"ran_ms", toMsString(runTime)},
                                {"expected_ms", toMsString(task.assignment.expectedRun)},
                                {"start_calls", std::to_string(task.startCalls)}}});
-    worker.marks.ended(task.assignment.task, end, runTime, task.assignment.expectedRun, now);
+    worker.performance.recordEnd(task.assignment.task, end, runTime, task.assignment.expectedRun,
+                                 now);
     ++m_loadVersion;
 }
 
@@ -163,8 +171,8 @@
     ++m_loadVersion;
 }
 
-void TaskRunner::loseAllRuns(Worker &worker, std::string_view reason, TimePoint now,
-                             RunnerOutbox &out)
+void TaskRunner::endAllRunsAsLost(Worker &worker, std::string_view reason, TimePoint now,
+                                  RunnerOutbox &out)
 {
     std::vector<TaskId> lost;
     for (const auto &[id, task] : worker.tasks)
@@ -187,20 +195,21 @@
 void TaskRunner::onEntryHello(Incarnation entry, std::string_view name, TimePoint now,
                               RunnerOutbox &out)
 {
-    enter(now, out);
-    // A new process at the entry's instance: the one before it is gone, and so are its callers.
+    expireAfterSuspension(now, out);
+    // The entry runs as a new process, so its previous process is gone, and the callers of that one
+    // too.
     for (auto &[id, other] : m_entries)
         if (other.name == name && id != entry)
             other.heardAt = std::min(other.heardAt, now - m_settings.entryTimeout - Duration(1));
     Entry &it = m_entries[entry];
     it.name = name;
     it.heardAt = now;
-    it.assignments = 0;
+    it.lastAssignment = 0;
 }
 
 void TaskRunner::onEntryHeard(Incarnation entry, TimePoint now, RunnerOutbox &out)
 {
-    enter(now, out);
+    expireAfterSuspension(now, out);
     const auto it = m_entries.find(entry);
     if (it != m_entries.end())
         it->second.heardAt = now;
@@ -209,11 +218,11 @@
 void TaskRunner::onAssign(Incarnation entry, AssignTask assignment, TimePoint now,
                           RunnerOutbox &out)
 {
-    enter(now, out);
+    expireAfterSuspension(now, out);
     const auto from = m_entries.find(entry);
     if (from == m_entries.end())
         return;
-    from->second.assignments = std::max(from->second.assignments, assignment.number);
+    from->second.lastAssignment = std::max(from->second.lastAssignment, assignment.number);
     ++m_loadVersion;
     Worker *worker = findWorker(assignment.workerId);
     if (now > assignment.startDeadline)
@@ -237,7 +246,7 @@
     }
     Task task;
     task.entry = entry;
-    task.arrival = ++m_arrivals;
+    task.arrivalNumber = ++m_lastArrival;
     const TaskId id = assignment.task;
     task.assignment = std::move(assignment);
     worker->tasks.emplace(id, std::move(task));
@@ -246,7 +255,7 @@
 void TaskRunner::onWithdraw(Incarnation entry, const WithdrawTask &request, TimePoint now,
                             RunnerOutbox &out)
 {
-    enter(now, out);
+    expireAfterSuspension(now, out);
     for (auto &[workerId, worker] : m_workers) {
         const auto it = worker.tasks.find(request.task);
         if (it == worker.tasks.end() || it->second.entry != entry
@@ -260,63 +269,64 @@
     }
 }
 
-// Time
+// Timeouts
 
 void TaskRunner::processPending(TimePoint now, RunnerOutbox &out)
 {
-    m_enteredAt = now;
-    while (!m_ended.empty() && now - m_ended.front().at > EndedMemory)
-        m_ended.pop_front();
-    if (!m_mayStart && now >= m_mayStartAt) {
-        m_mayStart = true;
+    m_lastInputAt = now;
+    while (!m_endedTasks.empty() && now - m_endedTasks.front().endedAt > EndedTaskRetention)
+        m_endedTasks.pop_front();
+    if (!m_startsAllowed && now >= m_startsAllowedAt) {
+        m_startsAllowed = true;
         ++m_loadVersion;
     }
     for (auto it = m_workers.begin(); it != m_workers.end();) {
         Worker &worker = (it++)->second;
-        expire(worker, now, out);
-        if (now - worker.heardAt > WorkerSilence)
+        expireTasks(worker, now, out);
+        if (now - worker.heardAt > WorkerTimeout)
             return onWorkerLeft(std::string(worker.info.id), now, out);
         stopOrphans(worker, now, out);
         startQueued(worker, now, out);
-        if (worker.marks.isBad() && now - worker.badToldAt > BadTellPause) {
-            worker.marks.fade(now);
-            worker.badToldAt = now;
+        if (worker.performance.isPoor() && now - worker.poorReportedAt > PoorPerformanceInterval) {
+            worker.performance.decay(now);
+            worker.poorReportedAt = now;
             ++m_loadVersion;
         }
-        if (now < worker.nextHoldAt)
+        if (now < worker.nextPollAt)
             continue;
-        if (worker.hold.value != 0)
-            noteUnanswered(worker, now, out);
-        sendHold(worker, now, out);
+        if (worker.newestPoll.value != 0)
+            recordUnansweredPoll(worker, now, out);
+        sendPoll(worker, now, out);
     }
-    std::erase_if(m_entries,
-                  [&](const auto &entry) { return now - entry.second.heardAt > EndedMemory; });
+    std::erase_if(m_entries, [&](const auto &entry) {
+        return now - entry.second.heardAt > EndedTaskRetention;
+    });
 }
 
-void TaskRunner::noteUnanswered(Worker &worker, TimePoint now, RunnerOutbox &out)
+void TaskRunner::recordUnansweredPoll(Worker &worker, TimePoint now, RunnerOutbox &out)
 {
-    if (worker.holdsUnanswered++ == 0)
+    if (worker.unansweredPolls++ == 0)
         worker.unansweredSince = now;
-    if (worker.isUnresponsive || now - worker.unansweredSince <= WorkerPatience)
+    if (worker.isUnresponsive || now - worker.unansweredSince <= PollTimeout)
         return;
     worker.isUnresponsive = true;
     ++m_loadVersion;
     out.emplace_back(LogEvent{Severity::Warning,
                               "worker_unresponsive",
                               {{"worker", worker.info.id},
-                               {"listed_ms", toMsString(now - worker.listedAt)},
-                               {"unanswered", std::to_string(worker.holdsUnanswered)}}});
+                               {"listed_ms", toMsString(now - worker.lastPollReplyAt)},
+                               {"unanswered", std::to_string(worker.unansweredPolls)}}});
 }
 
-void TaskRunner::expire(Worker &worker, TimePoint now, RunnerOutbox &out)
+void TaskRunner::expireTasks(Worker &worker, TimePoint now, RunnerOutbox &out)
 {
-    if (worker.holdsUnanswered > 0 && now > worker.leaseEnd)
-        loseAllRuns(worker, "lease_expired", now, out);
+    if (worker.unansweredPolls > 0 && now > worker.leaseEnd)
+        endAllRunsAsLost(worker, "lease_expired", now, out);
     std::vector<std::pair<TaskId, StartRefusal>> refused;
     for (auto &[id, task] : worker.tasks) {
-        const bool isOrphaned = isSilent(task.entry, now);
+        const bool isEntryLost = isEntrySilent(task.entry, now);
         if (task.state == State::Queued) {
-            if (isOrphaned)
+            if (isEntryLost)
                 refused.emplace_back(id, StartRefusal::Withdrawn);
             else if (now > task.assignment.startDeadline)
                 refused.emplace_back(id, StartRefusal::Expired);
@@ -325,7 +335,7 @@
             else if (worker.isUnresponsive)
                 refused.emplace_back(id, StartRefusal::Unhealthy);
         } else if (task.state != State::Stopping) {
-            if (isOrphaned)
+            if (isEntryLost)
                 stopTask(worker, task, "entry_silent", now, out);
             else if (now > task.assignment.endDeadline)
                 stopTask(worker, task, "out_of_time", now, out);
@@ -341,28 +351,28 @@
         refuseTask(worker, worker.tasks.find(id), reason, out);
 }
 
-// After a suspension, what has expired meanwhile must go before an input is handled: a message that
-// waited in the socket does not say that its sender lives.
-void TaskRunner::enter(TimePoint now, RunnerOutbox &out)
+// After a suspension of the process, what has expired meanwhile must be handled before an input: a
+// message that waited in the socket does not show that its sender is alive.
+void TaskRunner::expireAfterSuspension(TimePoint now, RunnerOutbox &out)
 {
-    if (now - m_enteredAt > SuspensionGap)
+    if (now - m_lastInputAt > SuspensionGap)
         for (auto &[id, worker] : m_workers)
-            expire(worker, now, out);
-    m_enteredAt = now;
+            expireTasks(worker, now, out);
+    m_lastInputAt = now;
 }
 
 TimePoint TaskRunner::nextTimer() const
 {
-    TimePoint next = m_mayStart ? NeverTime : m_mayStartAt;
+    TimePoint next = m_startsAllowed ? NeverTime : m_startsAllowedAt;
     for (const auto &[workerId, worker] : m_workers) {
-        next = std::min(next, worker.nextHoldAt);
+        next = std::min(next, worker.nextPollAt);
         for (const Orphan &it : worker.orphans)
             if (!it.stopAcknowledged)
                 next = std::min(next, it.retryAt);
-        next = std::min(next, worker.heardAt + WorkerSilence + Duration(1));
+        next = std::min(next, worker.heardAt + WorkerTimeout + Duration(1));
         if (worker.tasks.empty())
             continue;
-        if (worker.holdsUnanswered > 0)
+        if (worker.unansweredPolls > 0)
             next = std::min(next, worker.leaseEnd + Duration(1));
         for (const auto &[id, task] : worker.tasks) {
             next = std::min(next, task.retryAt);
--- a/src/taskrunner.h
+++ b/src/taskrunner.h
@@ -1,12 +1,15 @@
-// Runs best-effort tasks on the workers beside an agent: admits them by room, orders them by
-// urgency, starts and stops them, and learns their ends.
+// Runs best-effort tasks on the workers of the agent's machine: queues the tasks that entries
+// assign, starts them by urgency as capacity becomes free, stops them, and reports their ends to
+// the entries.
 //
-// Safety rests on three bounds. A task runs only while the entry that assigned it is heard: silence
-// for `entryTimeout` stops it. A start carries a deadline on the worker's clock, so one that is
-// carried out late is refused by the worker. The lease of all runs at a worker is renewed by this
-// process only, so they end by themselves if it dies.
+// Three bounds ensure that a task never runs twice at once. First, a task runs only while messages
+// from the entry that assigned it arrive: after `entryTimeout` without one it is stopped. Second, a
+// start carries a deadline on the worker's clock, and the worker refuses a start that reaches it
+// later. Third, only this process renews the lease of the runs at a worker, so they end by
+// themselves if it dies.
 //
-// No socket and no clock: inputs carry the time, which must count suspension of the machine.
+// Does no I/O and reads no clock: inputs carry the current time, which must count suspension of the
+// machine.
 
 #pragma once
 
@@ -25,12 +28,14 @@
 
 namespace cactuscove {
 
+// Identifies a call to a worker; from 1 in each process of the agent.
 using WorkerCallId = StrongId<struct WorkerCallIdTag>;
 
-// The worker's own clock, in ms since its start.
+// Time on the clock of a worker process, in ms since its start.
 using WorkerClock = StrongId<struct WorkerClockTag, std::int64_t>;
 
-// Calls to a worker. `worker` names one life; any other life at the address refuses the call.
+// Effects: calls to a worker. `worker` names one process of the worker; any other process at the
+// address refuses the call. A call without a reply after `timeout` counts as unanswered.
 struct StartRun
 {
     WorkerCallId call;
@@ -39,10 +44,11 @@
     TaskId task;
     std::uint32_t attempt = 0;
     std::string payload;
-    WorkerClock deadline; // the worker refuses the start later than this
+    WorkerClock deadline; // the worker refuses a start that reaches it later than this
     Duration timeout{};
 };
 
+// Stops the run; the worker then also refuses starts of this and earlier attempts.
 struct StopRun
 {
     WorkerCallId call;
@@ -53,128 +59,169 @@
     Duration timeout{};
 };
 
-// Renews the lease of all runs and asks what runs and what has ended.
+// Long poll: asks what runs and what has ended, and renews the lease of all runs.
 struct PollRuns
 {
     WorkerCallId call;
     std::string worker;
     std::string address;
-    std::uint64_t acknowledged = 0;        // ends up to this number may be forgotten
-    std::optional<WorkerClock> leaseUntil; // none: the lease is not renewed
-    Duration wait{};                       // for an end
+    // Number of the last end received; the worker may forget the ends up to it.
+    std::uint64_t acknowledged = 0;
+    std::optional<WorkerClock> leaseUntil; // none: it is not renewed
+    // Without a new end, the worker may hold back its reply for this long.
+    Duration wait{};
     Duration timeout{};
 };
 
+// What became of a start.
 enum class StartAnswer {
-    Accepted,     // runs, or already ran under this attempt
-    NoCapacity,   // refused for want of room
-    Late,         // refused for its deadline
+    Accepted,     // the attempt runs, or ran already
+    NoCapacity,   // refused: not enough free capacity
+    Late,         // refused: its deadline has passed
     OldAttempt,   // refused: this or a later attempt was stopped or has ended there
-    Unhealthy,    // refused by an unhealthy worker, nothing was done
-    Invalid,      // refused as malformed
-    OtherProcess, // refused: another life of the worker answers at the address
-    NotSent,      // provably not delivered
-    NoAnswer,     // may have been carried out, or may be later
+    Unhealthy,    // refused: the worker is unhealthy; nothing was done
+    Invalid,      // refused: malformed
+    OtherProcess, // refused: another process of the worker answers at the address
+    NotSent,      // certainly not delivered
+    NoAnswer,     // the start may have been carried out, or may still be
 };
 
+// The reply to StartRun.
 struct StartReply
 {
     StartAnswer answer = StartAnswer::NoAnswer;
-    std::optional<WorkerClock> clock;
+    std::optional<WorkerClock> clock; // when the worker replied, if the reply tells it
 };
 
+// What became of a stop or a poll; the values mean the same as in StartAnswer.
 enum class CallAnswer { Ok, OtherProcess, NotSent, NoAnswer };
 
+// The reply to StopRun.
 struct StopReply
 {
     CallAnswer answer = CallAnswer::NoAnswer;
-    std::optional<WorkerClock> clock;
+    std::optional<WorkerClock> clock; // when the worker replied, if the reply tells it
 };
 
+// A run that has not ended, in a list of the worker.
 struct ActiveRun
 {
     TaskId task;
     std::uint32_t attempt = 0;
-    int percent = 0; // of its work
+    int percent = 0; // of its work, 0 to 100
 };
 
+// A run that has ended, in a list of the worker.
 struct EndedRun
 {
-    std::uint64_t number = 0; // from 1 in each life of the worker
+    std::uint64_t number = 0; // from 1 in each process of the worker
     TaskId task;
     std::uint32_t attempt = 0;
     TaskEnd end = TaskEnd::Lost;
 };
 
+// The reply to PollRuns.
 struct PollReply
 {
     CallAnswer answer = CallAnswer::NoAnswer;
-    WorkerClock clock;
-    std::int64_t startedAtUnixMs = 0; // 0 if the worker does not say
+    WorkerClock clock; // when the worker replied
+    // Unix time of the start of the worker process; 0 if the worker does not tell.
+    std::int64_t startedAtUnixMs = 0;
     std::vector<ActiveRun> active;
-    std::vector<EndedRun> ended; // may be a part of the list
+    // Ends after PollRuns::acknowledged, in order; the oldest ones if one reply cannot hold them
+    // all.
+    std::vector<EndedRun> ended;
 };
 
+// Effect: send a message on the connection to an entry.
 struct SendToEntry
 {
     Incarnation entry;
     PeerMessage message;
 };
 
+// What the runner asks its agent process to do. The effects of an outbox are carried out in order.
 using RunnerEffect = std::variant<StartRun, StopRun, PollRuns, SendToEntry, LogEvent>;
 using RunnerOutbox = std::vector<RunnerEffect>;
 
-// An agent may be suspended just before it notices that an entry is silent; its runs then last for
-// the lease. So the silence, the lease and a stop together must be shorter than the pause after
-// which a caller repeats a job that it believes lost.
+// An agent may be suspended just before it notices that an entry is silent; its runs then last
+// until their lease ends. So `entryTimeout`, `leaseTime` and the time of a stop together must be
+// shorter than the pause after which a caller repeats a job that it believes lost.
 struct TaskRunnerSettings
 {
-    Duration leaseTime = std::chrono::milliseconds(600);    // of all runs at a worker
-    Duration entryTimeout = std::chrono::milliseconds(500); // then its tasks are stopped
-    // A worker carries a start out by then or refuses it. Longer than the repeats of an unanswered
-    // start take, shorter than the pause after which a caller repeats a lost job.
+    // Lease of all runs at a worker, from each renewal.
+    Duration leaseTime = std::chrono::milliseconds(600);
+    // The tasks of an entry are stopped after this time without a message from it.
+    Duration entryTimeout = std::chrono::milliseconds(500);
+    // A worker carries out a start within this time or refuses it. Longer than the repeats of an
+    // unanswered start take, and shorter than the pause after which a caller repeats a lost job.
     Duration startWindow = std::chrono::milliseconds(250);
 };
 
+// The best-effort tasks of one agent process, which calls it from its event loop.
 class TaskRunner
 {
 public:
+    // `startedAt` is the start of the process. Tasks start only once workers refuse the starts that
+    // an earlier process may have sent.
     TaskRunner(TaskRunnerSettings settings, TimePoint startedAt);
 
     // Workers
+
+    // A heartbeat of a worker. The first one makes the worker known.
     void onWorkerInfo(const WorkerInfo &info, TimePoint now, RunnerOutbox &out);
+    // The worker has said that it leaves. Its runs are reported as lost, its queued tasks are
+    // refused.
     void onWorkerLeft(std::string_view workerId, TimePoint now, RunnerOutbox &out);
+    // Replies to the calls of this runner, each at most once. A call without a reply is reported as
+    // NoAnswer. Replies to unknown calls are ignored.
     void onStartReply(WorkerCallId call, const StartReply &reply, TimePoint now, RunnerOutbox &out);
     void onStopReply(WorkerCallId call, const StopReply &reply, TimePoint now, RunnerOutbox &out);
     void onPollReply(WorkerCallId call, const PollReply &reply, TimePoint now, RunnerOutbox &out);
 
     // Entries
+
+    // To be called on each new connection to an entry. `name` is the same across restarts of the
+    // entry.
     void onEntryHello(Incarnation entry, std::string_view name, TimePoint now, RunnerOutbox &out);
+    // To be called for each message of the entry, whatever its type.
     void onEntryHeard(Incarnation entry, TimePoint now, RunnerOutbox &out);
+    // Queues the task, or refuses it with a reason. Ignored before the hello of the entry.
     void onAssign(Incarnation entry, AssignTask assignment, TimePoint now, RunnerOutbox &out);
+    // Refuses the task if it is still queued, else stops its run. Ignored for an unknown attempt.
     void onWithdraw(Incarnation entry, const WithdrawTask &request, TimePoint now,
                     RunnerOutbox &out);
 
-    // Stops what has expired, starts what has room, looks after the workers. To be called after
-    // inputs, once for several, and at nextTimer().
+    // Stops and refuses tasks whose time has run out, starts queued tasks that have capacity, and
+    // polls the workers. To be called after inputs, once for several of them, and at nextTimer().
     void processPending(TimePoint now, RunnerOutbox &out);
-    // No new tasks from now on; what runs goes on.
+    // Refuses queued and new tasks from now on; runs go on. Tells the entries that the workers are
+    // gone.
     void beginShutdown(RunnerOutbox &out);
 
     // Queries
+
+    // Time of the next processPending() without an input.
     TimePoint nextTimer() const;
+    // All tasks of the entry that this runner knows.
     TaskInventory inventoryOf(Incarnation entry) const;
-    // Workers at which nothing runs that an earlier process of this agent started.
+    // Ids of the workers at which nothing runs that an earlier process of this agent started.
     std::vector<std::string> orphanFreeWorkers() const;
+    // All known workers; as gone during a shutdown.
     std::vector<WorkerUpdate> workers() const;
-    std::vector<WorkerLoad> loads(TimePoint now) const; // without the number of assignments
-    std::uint64_t lastAssignmentNumberOf(Incarnation entry) const; // the newest number
-    std::uint64_t loadVersion() const { return m_loadVersion; }    // changes with loads()
-    bool isNearlyFull() const;     // some worker has little room left
-    std::size_t openTasks() const; // queued, running or being stopped
-    std::size_t openTasksOf(Incarnation entry) const;
+    // Load of each worker; WorkerLoad::assignments is not filled in, as it differs for each entry.
+    std::vector<WorkerLoad> loads(TimePoint now) const;
+    std::uint64_t lastAssignmentNumberOf(Incarnation entry) const; // newest on this connection
+    std::uint64_t loadVersion() const { return m_loadVersion; }    // increases when loads() changes
+    // More than 70% of the cores of some worker are in use.
+    bool isNearlyFull() const;
+    // Tasks that are queued, being started, running or being stopped.
+    std::size_t openTasks() const;
+    std::size_t openTasksOf(Incarnation entry) const; // the same, of one entry
 
 private:
+    // State of a task. Starting: a start was sent and not accepted yet. Stopping: a stop was sent,
+    // and the end has not been listed yet.
     enum class State { Queued, Starting, Running, Stopping };
 
     struct Task
@@ -182,34 +229,37 @@
         AssignTask assignment;
         Incarnation entry;
         State state = State::Queued;
-        std::uint64_t arrival = 0;
-        TimePoint sentAt{};    // of the first start
-        TimePoint startedAt{}; // when the start was known to be carried out
-        int startCalls = 0;    // sent so far
-        int stopCalls = 0;
-        TimePoint retryAt = NeverTime; // of the start or stop, without an answer
-        bool ranForSure = false;       // a start was accepted, or the run was listed
+        std::uint64_t arrivalNumber = 0; // order in which tasks were assigned
+        TimePoint firstSentAt{};         // when the first start was sent
+        TimePoint startedAt{};           // when it was first known that the run had started
+        int startCalls = 0;              // starts sent so far
+        int stopCalls = 0;               // stops sent so far
+        // When to send the start or stop again if it is not answered by then.
+        TimePoint retryAt = NeverTime;
+        bool isStartConfirmed = false; // a start was accepted, or the run was listed
         bool stopAcknowledged = false;
         TimePoint stopAcknowledgedAt{};
-        int percent = 0; // of its work, by the newest list
-        TimePoint percentAt{};
-        bool isLateTold = false;
+        int percentDone = 0;         // of its work, 0 to 100, by the newest list
+        TimePoint percentDoneAt{};   // when that list was received
+        bool isLateReported = false; // its entry was sent TaskLate
     };
 
-    // A run that another process of this agent started; its needs are not known.
+    // A run that another process of this agent started. It is stopped, as its resource needs are
+    // not known.
     struct Orphan
     {
         TaskId task;
         std::uint32_t attempt = 0;
         bool stopAcknowledged = false;
-        TimePoint retryAt{}; // of its stop
+        TimePoint retryAt{}; // when to send its stop again
     };
 
-    // A call that has not ended. The next one does not wait for it, and its answer still counts.
-    struct OpenCall
+    // A call that has neither a reply nor timed out. Later calls do not wait for it, and its reply
+    // still counts.
+    struct PendingCall
     {
         std::string worker;
-        TaskId task; // of a start or stop
+        TaskId task; // of a start or stop; not set for a poll
         std::uint32_t attempt = 0;
         TimePoint sentAt{};
     };
@@ -217,97 +267,119 @@
     struct Worker
     {
         WorkerInfo info;
-        bool isSynced = false; // a list of its runs has been received in this life
-        WorkerClock clock;     // of the newest answer
-        TimePoint clockAt{};   // when that was received
-        TimePoint heardAt{};   // heartbeat or answer
-        TimePoint leaseEnd{};  // latest end of any lease that was asked for
-        std::uint64_t acknowledged = 0;
-        WorkerCallId hold;      // newest; 0 once it has ended
-        TimePoint nextHoldAt{}; // also if the newest has not ended
-        int holdsUnanswered = 0;
-        TimePoint unansweredSince{}; // the first of them
-        TimePoint listedAt{};        // newest answer to a hold
-        bool isUnresponsive = false; // no such answer for too long
-        TimePoint unhealthyUntil{};
-        std::map<TaskId, Task> tasks;
+        bool isSynced = false;          // a list of its runs was received from this process
+        WorkerClock clock;              // the worker's clock in its newest reply
+        TimePoint clockAt{};            // when that reply was received
+        TimePoint heardAt{};            // newest heartbeat or reply
+        TimePoint leaseEnd{};           // latest possible end of any lease that was asked for
+        std::uint64_t acknowledged = 0; // number of the last end received
+        WorkerCallId newestPoll;        // newest poll; 0 once it has a reply or has timed out
+        TimePoint nextPollAt{};      // the next poll is sent then, also if the newest is still open
+        int unansweredPolls = 0;     // in a row
+        TimePoint unansweredSince{}; // when the first of them was noticed
+        TimePoint lastPollReplyAt{}; // newest reply to a poll
+        bool isUnresponsive = false; // no reply to polls for too long
+        TimePoint unhealthyUntil{};  // no starts before: it refused one
+        std::map<TaskId, Task> tasks; // not ended
         std::vector<Orphan> orphans;
-        WorkerPerformance marks;
-        TimePoint badToldAt{}; // when a load was sent for the sake of bad marks
+        WorkerPerformance performance;
+        TimePoint poorReportedAt{}; // when the entries were last told of its poor performance
     };
 
     struct Entry
     {
         std::string name;
         TimePoint heardAt{};
-        std::uint64_t assignments = 0; // newest number
+        std::uint64_t lastAssignment = 0; // newest number on its connection
     };
 
+    // An end that is still listed in inventories.
     struct EndedTask
     {
         Incarnation entry;
         TaskEnded end;
-        TimePoint at;
+        TimePoint endedAt;
     };
 
-    void enter(TimePoint now, RunnerOutbox &out);
-    void expire(Worker &worker, TimePoint now, RunnerOutbox &out);
-    static std::pair<TimePoint, std::uint64_t> orderOf(const Task &task);
+    // First step of each input from outside.
+    void expireAfterSuspension(TimePoint now, RunnerOutbox &out);
+    // Stops, refuses or repeats the calls of tasks whose time has come.
+    void expireTasks(Worker &worker, TimePoint now, RunnerOutbox &out);
+    // Sort key of queued tasks; the smallest starts first.
+    static std::pair<TimePoint, std::uint64_t> schedulingOrderOf(const Task &task);
     void startQueued(Worker &worker, TimePoint now, RunnerOutbox &out);
     void sendStart(Worker &worker, Task &task, TimePoint now, RunnerOutbox &out);
-    void sendHold(Worker &worker, TimePoint now, RunnerOutbox &out);
+    void sendPoll(Worker &worker, TimePoint now, RunnerOutbox &out);
     void stopTask(Worker &worker, Task &task, std::string_view reason, TimePoint now,
                   RunnerOutbox &out);
     void sendStop(Worker &worker, Task &task, TimePoint now, RunnerOutbox &out);
-    StopRun stopOrder(const Worker &worker, const TaskId &task, std::uint32_t attempt,
-                      TimePoint now);
+    StopRun makeStop(const Worker &worker, const TaskId &task, std::uint32_t attempt,
+                     TimePoint now);
+    // For a start that was not accepted, while no other call has shown that the task runs.
     void onStartFailed(Worker &worker, Task &task, StartAnswer answer, TimePoint now,
                        RunnerOutbox &out);
-    void noteUnanswered(Worker &worker, TimePoint now, RunnerOutbox &out);
+    // Counts a poll without a reply; too many make the worker unresponsive.
+    void recordUnansweredPoll(Worker &worker, TimePoint now, RunnerOutbox &out);
     void stopOrphans(Worker &worker, TimePoint now, RunnerOutbox &out);
+    // Removes a task whose run has ended and tells its entry.
     void endTask(Worker &worker, std::map<TaskId, Task>::iterator it, TaskEnd end, TimePoint now,
                  RunnerOutbox &out);
+    // Removes a task that was not started and never will be, and tells its entry.
     void refuseTask(Worker &worker, std::map<TaskId, Task>::iterator it, StartRefusal reason,
                     RunnerOutbox &out);
+    // Refuses an assignment that was not queued, or not any more.
     void refuse(Incarnation entry, const AssignTask &assignment, StartRefusal reason,
                 std::string_view worker, RunnerOutbox &out);
-    void loseAllRuns(Worker &worker, std::string_view reason, TimePoint now, RunnerOutbox &out);
-    void beginLife(Worker &worker, const WorkerInfo &info, TimePoint now, RunnerOutbox &out);
+    // All runs at the worker have ended: their lease has expired, or the worker is gone.
+    void endAllRunsAsLost(Worker &worker, std::string_view reason, TimePoint now,
+                          RunnerOutbox &out);
+    // Handles a worker's first heartbeat, or a restart under the same id: runs are lost, queued
+    // tasks stay queued.
+    void beginWorkerProcess(Worker &worker, const WorkerInfo &info, TimePoint now,
+                            RunnerOutbox &out);
+    // The start was carried out: a start was accepted, or the run was listed.
     void markRunning(Worker &worker, Task &task, TimePoint now, RunnerOutbox &out);
-    // `askedAt` is when the call was sent: the lists may be older than anything that happened
-    // since.
-    void applyLists(Worker &worker, const PollReply &reply, TimePoint askedAt, TimePoint now,
-                    RunnerOutbox &out);
+    // `askedAt` is when the poll was sent: the lists in the reply may be older than anything that
+    // happened since.
+    void applyPollReply(Worker &worker, const PollReply &reply, TimePoint askedAt, TimePoint now,
+                        RunnerOutbox &out);
+    // Updates the worker's speed by the progress of its runs. On a slow worker, reports the tasks
+    // that will miss their objectives.
     void measureProgress(Worker &worker, TimePoint now, RunnerOutbox &out);
-    void hear(Worker &worker, WorkerClock clock, TimePoint now);
-    bool isSilent(Incarnation entry, TimePoint now) const;
-    Resources used(const Worker &worker) const;
-    WorkerClock workerTime(const Worker &worker, TimePoint at) const;
+    // To be called with the clock in each reply of the worker.
+    void updateClock(Worker &worker, WorkerClock clock, TimePoint now);
+    bool isEntrySilent(Incarnation entry, TimePoint now) const;
+    // Needs of all tasks that are not queued.
+    Resources usedResources(const Worker &worker) const;
+    // The worker's clock at time `at`, or a little less: the reply that told it was under way for
+    // some time.
+    WorkerClock workerClockAt(const Worker &worker, TimePoint at) const;
     Worker *findWorker(std::string_view id);
-    WorkerCallId newCall(OpenCall call);
-    // Takes the ended call into `about` and returns its worker; none if that is gone, or if another
-    // life answered, by which it is known to be gone.
-    Worker *endCall(WorkerCallId call, bool isOtherLife, OpenCall &about, TimePoint now,
+    WorkerCallId registerCall(PendingCall call);
+    // Removes the call, moves it to `endedCall` and returns its worker. None if the worker is gone,
+    // or if another process answered, which shows that it is gone.
+    Worker *endCall(WorkerCallId call, bool isOtherProcess, PendingCall &endedCall, TimePoint now,
                     RunnerOutbox &out);
-    // The same for the reply to a start or stop, which may tell the worker's clock.
+    // The same for the reply to a start or stop, which may carry the worker's clock.
     template <typename Reply>
-    Worker *endOrder(WorkerCallId call, const Reply &reply, OpenCall &about, TimePoint now,
-                     RunnerOutbox &out);
-    // The started, not ended task that the call is about; none if it has ended or another attempt
+    Worker *endStartOrStop(WorkerCallId call, const Reply &reply, PendingCall &endedCall,
+                           TimePoint now, RunnerOutbox &out);
+    // The task that the call is about; none if it is queued or has ended, or if another attempt
     // runs.
-    Task *findTask(Worker &worker, const OpenCall &call);
+    Task *findTask(Worker &worker, const PendingCall &call);
 
     TaskRunnerSettings m_settings;
-    TimePoint m_mayStartAt; // starts of an earlier process are refused by the workers from then on
+    // From then on the workers refuse all starts of an earlier process of this agent.
+    TimePoint m_startsAllowedAt;
     std::map<std::string, Worker, std::less<>> m_workers;
     std::map<Incarnation, Entry> m_entries;
-    std::map<WorkerCallId, OpenCall> m_calls;
-    std::deque<EndedTask> m_ended; // oldest first
+    std::map<WorkerCallId, PendingCall> m_calls;
+    std::deque<EndedTask> m_endedTasks; // oldest first
     std::uint64_t m_lastCall = 0;
-    std::uint64_t m_arrivals = 0;
+    std::uint64_t m_lastArrival = 0;
     std::uint64_t m_loadVersion = 0;
-    TimePoint m_enteredAt{};
-    bool m_mayStart = false; // m_mayStartAt has passed
+    TimePoint m_lastInputAt{};    // time of the newest input
+    bool m_startsAllowed = false; // m_startsAllowedAt has passed
     bool m_shuttingDown = false;
 };
 
--- a/src/taskrunnercalls.cpp
+++ b/src/taskrunnercalls.cpp
@@ -1,4 +1,4 @@
-// Calls of the task runner to its workers: starts, stops and lists of runs.
+// Calls of the task runner to its workers: starts, stops and polls, and their replies.
 
 #include "durations.h"
 #include "taskrunner.h"
@@ -12,63 +12,71 @@
 
 using namespace std::chrono_literals;
 
-// Calls go to the same machine. Without an answer by then they are sent again on another
-// connection, which is harmless at the worker; the first call may still be answered.
-constexpr Duration FirstRetry = 12ms;
-constexpr Duration LongestRetry = 48ms;
-constexpr Duration AnswerPatience = 300ms; // then a call has no answer
-constexpr Duration HoldSlack = 16ms;       // on top of the wait of a hold
-constexpr int MaxHoldBackOff = 5;          // times as long after unanswered holds
-constexpr Duration BusyHoldWait = 30ms;    // an end whose answer is lost is seen this much later
-constexpr Duration IdleHoldWait = 400ms;
-constexpr Duration RetryPause = 20ms; // after a call that could not be sent
-constexpr Duration UnhealthyPause = 200ms;
-// The worker's clock may be 2% slow; the rest is for calls under way.
-constexpr Duration LeaseSlack = 60ms;
-constexpr Duration MinElapsed = 15ms;      // until the progress of a run tells anything
-constexpr std::size_t MaxListedEnds = 500; // of one reply; a longer list continues in the next
-
-Duration retryPause(int callsBefore)
+// The workers are on the same machine, so replies are fast. A call without a reply after this time
+// is sent again on another connection; the worker handles repeats safely, and the first call may
+// still be answered.
+constexpr Duration MinRetryDelay = 12ms;
+constexpr Duration MaxRetryDelay = 48ms;
+constexpr Duration CallTimeout = 300ms; // then a call counts as unanswered
+// The next poll is sent this long after the longest time that the worker may hold back its reply.
+constexpr Duration PollMargin = 16ms;
+// After unanswered polls PollMargin is multiplied by one more than their number or this limit.
+constexpr int MaxPollBackOff = 5;
+// If the reply with an end is lost, the end is seen this much later.
+constexpr Duration BusyPollWait = 30ms;
+constexpr Duration IdlePollWait = 400ms;
+constexpr Duration NotSentRetryDelay = 20ms; // after a call that could not be delivered
+constexpr Duration UnhealthyPause = 200ms;   // without starts after a worker refused one
+// Added to the end of a lease or a start window, for calls that are under way and for the worker's
+// clock, which may be 2% slow.
+constexpr Duration LeaseMargin = 60ms;
+constexpr Duration MinProgressTime = 15ms; // the progress of a younger run tells nothing
+// Ends in one reply; a longer list continues in the next reply.
+constexpr std::size_t MaxListedEnds = 500;
+
+// Doubles with each call, up to MaxRetryDelay.
+Duration retryDelay(int callsBefore)
 {
-    return std::min(FirstRetry * (1 << std::min(callsBefore, 2)), LongestRetry);
+    return std::min(MinRetryDelay * (1 << std::min(callsBefore, 2)), MaxRetryDelay);
 }
 
 } // namespace
 
-WorkerCallId TaskRunner::newCall(OpenCall call)
+WorkerCallId TaskRunner::registerCall(PendingCall call)
 {
     const WorkerCallId id{++m_lastCall};
     m_calls.emplace(id, std::move(call));
     return id;
 }
 
-TaskRunner::Worker *TaskRunner::endCall(WorkerCallId call, bool isOtherLife, OpenCall &about,
-                                        TimePoint now, RunnerOutbox &out)
+TaskRunner::Worker *TaskRunner::endCall(WorkerCallId call, bool isOtherProcess,
+                                        PendingCall &endedCall, TimePoint now, RunnerOutbox &out)
 {
     auto node = m_calls.extract(call);
     Worker *worker = node.empty() ? nullptr : findWorker(node.mapped().worker);
     if (!worker)
         return nullptr;
-    about = std::move(node.mapped());
-    if (!isOtherLife)
+    endedCall = std::move(node.mapped());
+    if (!isOtherProcess)
         return worker;
-    onWorkerLeft(about.worker, now, out);
+    onWorkerLeft(endedCall.worker, now, out);
     return nullptr;
 }
 
 template <typename Reply>
-TaskRunner::Worker *TaskRunner::endOrder(WorkerCallId call, const Reply &reply, OpenCall &about,
-                                         TimePoint now, RunnerOutbox &out)
+TaskRunner::Worker *TaskRunner::endStartOrStop(WorkerCallId call, const Reply &reply,
+                                               PendingCall &endedCall, TimePoint now,
+                                               RunnerOutbox &out)
 {
-    enter(now, out);
-    const bool isOtherLife = reply.answer == decltype(reply.answer)::OtherProcess;
-    Worker *worker = endCall(call, isOtherLife, about, now, out);
+    expireAfterSuspension(now, out);
+    const bool isOtherProcess = reply.answer == decltype(reply.answer)::OtherProcess;
+    Worker *worker = endCall(call, isOtherProcess, endedCall, now, out);
     if (worker && reply.clock)
-        hear(*worker, *reply.clock, now);
+        updateClock(*worker, *reply.clock, now);
     return worker;
 }
 
-TaskRunner::Task *TaskRunner::findTask(Worker &worker, const OpenCall &call)
+TaskRunner::Task *TaskRunner::findTask(Worker &worker, const PendingCall &call)
 {
     const auto it = worker.tasks.find(call.task);
     const bool isSame = it != worker.tasks.end() && it->second.state != State::Queued
@@ -76,16 +84,16 @@
     return isSame ? &it->second : nullptr;
 }
 
-void TaskRunner::hear(Worker &worker, WorkerClock clock, TimePoint now)
+void TaskRunner::updateClock(Worker &worker, WorkerClock clock, TimePoint now)
 {
     worker.heardAt = now;
     if (clock < worker.clock)
-        return; // answers on different connections may overtake each other
+        return; // replies on different connections may overtake each other
     worker.clock = clock;
     worker.clockAt = now;
 }
 
-WorkerClock TaskRunner::workerTime(const Worker &worker, TimePoint at) const
+WorkerClock TaskRunner::workerClockAt(const Worker &worker, TimePoint at) const
 {
     return WorkerClock{worker.clock.value + toWholeMs(at - worker.clockAt)};
 }
@@ -96,31 +104,31 @@
 {
     const AssignTask &it = task.assignment;
     task.state = State::Starting;
-    task.retryAt = now + retryPause(task.startCalls++);
-    worker.leaseEnd = std::max(worker.leaseEnd, now + m_settings.startWindow + LeaseSlack);
+    task.retryAt = now + retryDelay(task.startCalls++);
+    worker.leaseEnd = std::max(worker.leaseEnd, now + m_settings.startWindow + LeaseMargin);
     out.emplace_back(
-        StartRun{newCall({worker.info.id, it.task, it.attempt, now}), worker.info.id,
+        StartRun{registerCall({worker.info.id, it.task, it.attempt, now}), worker.info.id,
                  worker.info.address, it.task, it.attempt, it.payload,
-                 WorkerClock{workerTime(worker, now).value + toWholeMs(m_settings.startWindow)},
-                 AnswerPatience});
+                 WorkerClock{workerClockAt(worker, now).value + toWholeMs(m_settings.startWindow)},
+                 CallTimeout});
 }
 
 void TaskRunner::sendStop(Worker &worker, Task &task, TimePoint now, RunnerOutbox &out)
 {
     const AssignTask &it = task.assignment;
-    task.retryAt = now + retryPause(task.stopCalls++);
-    out.emplace_back(stopOrder(worker, it.task, it.attempt, now));
+    task.retryAt = now + retryDelay(task.stopCalls++);
+    out.emplace_back(makeStop(worker, it.task, it.attempt, now));
 }
 
-StopRun TaskRunner::stopOrder(const Worker &worker, const TaskId &task, std::uint32_t attempt,
-                              TimePoint now)
+StopRun TaskRunner::makeStop(const Worker &worker, const TaskId &task, std::uint32_t attempt,
+                             TimePoint now)
 {
-    return {newCall({worker.info.id, task, attempt, now}),
+    return {registerCall({worker.info.id, task, attempt, now}),
             worker.info.id,
             worker.info.address,
             task,
             attempt,
-            AnswerPatience};
+            CallTimeout};
 }
 
 void TaskRunner::stopTask(Worker &worker, Task &task, std::string_view reason, TimePoint now,
@@ -138,7 +146,7 @@
                                {"attempt", std::to_string(task.assignment.attempt)},
                                {"worker", worker.info.id},
                                {"reason", std::string(reason)},
-                               {"ran_ms", toMsString(now - task.sentAt)},
+                               {"ran_ms", toMsString(now - task.firstSentAt)},
                                {"entry_heard_ms", toMsString(heardAgo)}}});
     task.state = State::Stopping;
     task.stopAcknowledged = false;
@@ -157,45 +165,46 @@
                                        {"task", std::to_string(it.task.index)},
                                        {"attempt", std::to_string(it.attempt)},
                                        {"worker", worker.info.id}}});
-        it.retryAt = now + LongestRetry;
-        out.emplace_back(stopOrder(worker, it.task, it.attempt, now));
+        it.retryAt = now + MaxRetryDelay;
+        out.emplace_back(makeStop(worker, it.task, it.attempt, now));
     }
 }
 
-// Ties go to the one that arrived first.
-std::pair<TimePoint, std::uint64_t> TaskRunner::orderOf(const Task &task)
+// Ties go to the task that was assigned first.
+std::pair<TimePoint, std::uint64_t> TaskRunner::schedulingOrderOf(const Task &task)
 {
-    return {task.assignment.schedulingKey, task.arrival};
+    return {task.assignment.schedulingKey, task.arrivalNumber};
 }
 
 void TaskRunner::startQueued(Worker &worker, TimePoint now, RunnerOutbox &out)
 {
-    if (!worker.isSynced || worker.info.isDraining || !worker.orphans.empty() || !m_mayStart
+    if (!worker.isSynced || worker.info.isDraining || !worker.orphans.empty() || !m_startsAllowed
         || now < worker.unhealthyUntil || worker.isUnresponsive)
         return;
-    Resources room = worker.info.capacity - used(worker);
+    Resources room = worker.info.capacity - usedResources(worker);
     while (true) {
         Task *best = nullptr;
         for (auto &[id, task] : worker.tasks) {
             if (task.state != State::Queued)
                 continue;
-            if (!best || orderOf(task) < orderOf(*best))
+            if (!best || schedulingOrderOf(task) < schedulingOrderOf(*best))
                 best = &task;
         }
-        // Only the first in order may start: smaller tasks behind it must not starve it.
+        // Only the first in order may start: smaller tasks behind it must not keep it waiting for
+        // ever.
         if (!best || !best->assignment.needs.fitsIn(room))
             return;
         room -= best->assignment.needs;
-        best->sentAt = now;
+        best->firstSentAt = now;
         sendStart(worker, *best, now, out);
     }
 }
 
 void TaskRunner::markRunning(Worker &worker, Task &task, TimePoint now, RunnerOutbox &out)
 {
-    if (task.ranForSure)
+    if (task.isStartConfirmed)
         return;
-    task.ranForSure = true;
+    task.isStartConfirmed = true;
     task.startedAt = now;
     if (task.state != State::Starting)
         return;
@@ -209,27 +218,28 @@
 void TaskRunner::onStartReply(WorkerCallId call, const StartReply &reply, TimePoint now,
                               RunnerOutbox &out)
 {
-    OpenCall about;
-    Worker *worker = endOrder(call, reply, about, now, out);
+    PendingCall endedCall;
+    Worker *worker = endStartOrStop(call, reply, endedCall, now, out);
     if (!worker)
         return;
-    Task *task = findTask(*worker, about);
+    Task *task = findTask(*worker, endedCall);
     if (task && reply.answer == StartAnswer::Accepted)
         markRunning(*worker, *task, now, out);
     else if (task && task->state == State::Starting)
         onStartFailed(*worker, *task, reply.answer, now, out);
 }
 
-// While another start of the attempt may still be carried out, only a stop proves that it does not
+// If another start of the attempt may still be carried out, only a stop makes sure that it does not
 // run.
 void TaskRunner::onStartFailed(Worker &worker, Task &task, StartAnswer answer, TimePoint now,
                                RunnerOutbox &out)
 {
     if (answer == StartAnswer::NoAnswer)
-        return; // sent again in its time
+        return; // sent again at retryAt
     const bool isProof = task.startCalls == 1;
     if (answer == StartAnswer::OldAttempt && !isProof) {
-        // An unanswered start was carried out and has ended: the next list of ends tells how.
+        // An unanswered start was carried out and its run has ended; the next list of ends tells
+        // how.
         task.state = State::Stopping;
         task.stopAcknowledged = true;
         task.stopAcknowledgedAt = now;
@@ -240,7 +250,7 @@
     const bool isOld = answer == StartAnswer::OldAttempt;
     if (!isLate && !isOld)
         worker.unhealthyUntil
-            = now + (answer == StartAnswer::NotSent ? RetryPause : UnhealthyPause);
+            = now + (answer == StartAnswer::NotSent ? NotSentRetryDelay : UnhealthyPause);
     if (!isProof)
         return stopTask(worker, task, "start_unclear", now, out);
     const StartRefusal reason = isLate  ? StartRefusal::Expired
@@ -252,89 +262,89 @@
 void TaskRunner::onStopReply(WorkerCallId call, const StopReply &reply, TimePoint now,
                              RunnerOutbox &out)
 {
-    OpenCall about;
-    Worker *worker = endOrder(call, reply, about, now, out);
+    PendingCall endedCall;
+    Worker *worker = endStartOrStop(call, reply, endedCall, now, out);
     if (!worker)
         return;
     if (reply.answer != CallAnswer::Ok)
-        return; // sent again in its time
-    Task *task = findTask(*worker, about);
+        return; // sent again at retryAt
+    Task *task = findTask(*worker, endedCall);
     if (task && task->state == State::Stopping && !task->stopAcknowledged) {
         task->stopAcknowledged = true;
         task->stopAcknowledgedAt = now;
         task->retryAt = NeverTime;
     }
     for (Orphan &it : worker->orphans)
-        it.stopAcknowledged |= it.task == about.task && it.attempt == about.attempt;
+        it.stopAcknowledged |= it.task == endedCall.task && it.attempt == endedCall.attempt;
 }
 
-// Lists of what runs and what has ended
+// Polls: lists of what runs and what has ended
 
-void TaskRunner::sendHold(Worker &worker, TimePoint now, RunnerOutbox &out)
+void TaskRunner::sendPoll(Worker &worker, TimePoint now, RunnerOutbox &out)
 {
     const bool isBusy = !worker.tasks.empty() || !worker.orphans.empty();
-    PollRuns hold;
-    hold.call = worker.hold = newCall({worker.info.id, {}, 0, now});
-    hold.worker = worker.info.id;
-    hold.address = worker.info.address;
-    hold.acknowledged = worker.acknowledged;
-    hold.wait = !worker.isSynced || worker.holdsUnanswered > 0 ? Duration{}
-                : isBusy                                       ? BusyHoldWait
-                                                               : IdleHoldWait;
-    worker.nextHoldAt
-        = now + hold.wait + HoldSlack * (1 + std::min(worker.holdsUnanswered, MaxHoldBackOff));
-    hold.timeout = hold.wait + AnswerPatience;
-    // Orphans are stopped, so their lease is not renewed. A worker that does not answer gets no
-    // renewal that could be carried out late.
+    PollRuns poll;
+    poll.call = worker.newestPoll = registerCall({worker.info.id, {}, 0, now});
+    poll.worker = worker.info.id;
+    poll.address = worker.info.address;
+    poll.acknowledged = worker.acknowledged;
+    poll.wait = !worker.isSynced || worker.unansweredPolls > 0 ? Duration{}
+                : isBusy                                       ? BusyPollWait
+                                                               : IdlePollWait;
+    worker.nextPollAt
+        = now + poll.wait + PollMargin * (1 + std::min(worker.unansweredPolls, MaxPollBackOff));
+    poll.timeout = poll.wait + CallTimeout;
+    // Orphans are to be stopped, so their lease is not renewed. A worker that does not answer is
+    // sent no renewal, since it could be carried out late.
     if (worker.isSynced && worker.orphans.empty() && !worker.isUnresponsive) {
-        hold.leaseUntil
-            = WorkerClock{workerTime(worker, now).value + toWholeMs(m_settings.leaseTime)};
+        poll.leaseUntil
+            = WorkerClock{workerClockAt(worker, now).value + toWholeMs(m_settings.leaseTime)};
         worker.leaseEnd = std::max(worker.leaseEnd, now + m_settings.leaseTime
-                                                        + m_settings.leaseTime / 50 + LeaseSlack);
+                                                        + m_settings.leaseTime / 50 + LeaseMargin);
     }
-    out.emplace_back(std::move(hold));
+    out.emplace_back(std::move(poll));
 }
 
 void TaskRunner::onPollReply(WorkerCallId call, const PollReply &reply, TimePoint now,
                              RunnerOutbox &out)
 {
-    enter(now, out);
-    OpenCall about;
-    Worker *worker = endCall(call, reply.answer == CallAnswer::OtherProcess, about, now, out);
+    expireAfterSuspension(now, out);
+    PendingCall endedCall;
+    Worker *worker = endCall(call, reply.answer == CallAnswer::OtherProcess, endedCall, now, out);
     if (!worker)
         return;
-    const bool isNewest = worker->hold == call;
-    if (isNewest)
-        worker->hold = {};
+    const bool isNewestPoll = worker->newestPoll == call;
+    if (isNewestPoll)
+        worker->newestPoll = {};
     if (reply.answer != CallAnswer::Ok) {
-        if (isNewest)
-            noteUnanswered(*worker, now, out);
-        if (isNewest && reply.answer == CallAnswer::NotSent)
-            worker->nextHoldAt = now + RetryPause;
+        if (isNewestPoll)
+            recordUnansweredPoll(*worker, now, out);
+        if (isNewestPoll && reply.answer == CallAnswer::NotSent)
+            worker->nextPollAt = now + NotSentRetryDelay;
         return;
     }
-    // The worker restarted under its id; its heartbeat with the new birth follows.
+    // The worker restarted under its id; its heartbeat with the new start time follows.
     if (reply.startedAtUnixMs != 0 && reply.startedAtUnixMs != worker->info.startedAtUnixMs)
         return onWorkerLeft(std::string(worker->info.id), now, out);
     if (std::exchange(worker->isUnresponsive, false)) {
-        out.emplace_back(LogEvent{
-            Severity::Info,
-            "worker_responsive",
-            {{"worker", worker->info.id}, {"listed_ms", toMsString(now - worker->listedAt)}}});
+        out.emplace_back(LogEvent{Severity::Info,
+                                  "worker_responsive",
+                                  {{"worker", worker->info.id},
+                                   {"listed_ms", toMsString(now - worker->lastPollReplyAt)}}});
         ++m_loadVersion;
     }
-    worker->holdsUnanswered = 0;
-    worker->listedAt = now;
-    if (isNewest)
-        worker->nextHoldAt = now;
-    const bool isOvertaken = reply.clock < worker->clock && worker->isSynced;
-    hear(*worker, reply.clock, now);
-    if (!isOvertaken)
-        applyLists(*worker, reply, about.sentAt, now, out);
+    worker->unansweredPolls = 0;
+    worker->lastPollReplyAt = now;
+    if (isNewestPoll)
+        worker->nextPollAt = now;
+    const bool isOutdated = reply.clock < worker->clock && worker->isSynced;
+    updateClock(*worker, reply.clock, now);
+    if (!isOutdated)
+        applyPollReply(*worker, reply, endedCall.sentAt, now, out);
 }
 
-void TaskRunner::applyLists(Worker &worker, const PollReply &reply, TimePoint askedAt,
-                            TimePoint now, RunnerOutbox &out)
+void TaskRunner::applyPollReply(Worker &worker, const PollReply &reply, TimePoint askedAt,
+                                TimePoint now, RunnerOutbox &out)
 {
     const bool wasClean = worker.orphans.empty();
     for (const EndedRun &end : reply.ended) {
@@ -353,8 +363,8 @@
         const auto it = worker.tasks.find(run.task);
         if (it != worker.tasks.end() && it->second.assignment.attempt == run.attempt) {
             markRunning(worker, it->second, now, out);
-            it->second.percent = run.percent;
-            it->second.percentAt = now;
+            it->second.percentDone = run.percent;
+            it->second.percentDoneAt = now;
             continue;
         }
         const bool isKnown
@@ -381,7 +391,7 @@
         }
         for (const TaskId &id : missing) {
             const auto it = worker.tasks.find(id);
-            if (it->second.ranForSure)
+            if (it->second.isStartConfirmed)
                 endTask(worker, it, TaskEnd::Lost, now, out);
             else
                 refuseTask(worker, it, StartRefusal::Withdrawn, out);
@@ -398,36 +408,37 @@
 {
     std::vector<RunProgress> progress;
     for (const auto &[id, task] : worker.tasks)
-        if (task.state == State::Running && task.percentAt == now)
+        if (task.state == State::Running && task.percentDoneAt == now)
             progress.push_back(
-                {id.jobId, now - task.startedAt, task.assignment.expectedRun, task.percent});
-    const bool wasSlow = worker.marks.isRunningSlow();
-    worker.marks.progressed(progress, now);
-    const bool isSlow = worker.marks.isRunningSlow();
+                {id.jobId, now - task.startedAt, task.assignment.expectedRun, task.percentDone});
+    const bool wasSlow = worker.performance.isRunningSlow();
+    worker.performance.recordProgress(progress, now);
+    const bool isSlow = worker.performance.isRunningSlow();
     if (isSlow != wasSlow)
         ++m_loadVersion;
     if (!isSlow)
         return;
     for (auto &[id, task] : worker.tasks) {
-        if (task.state != State::Running || task.percentAt != now || task.isLateTold)
+        if (task.state != State::Running || task.percentDoneAt != now || task.isLateReported)
             continue;
         const Duration elapsed = now - task.startedAt;
-        const Duration remaining = elapsed * (100 - task.percent) / std::max(task.percent, 1);
-        if (elapsed < MinElapsed || now + remaining <= task.assignment.objectiveTime)
+        const Duration remaining
+            = elapsed * (100 - task.percentDone) / std::max(task.percentDone, 1);
+        if (elapsed < MinProgressTime || now + remaining <= task.assignment.objectiveTime)
             continue;
-        task.isLateTold = true;
+        task.isLateReported = true;
         out.emplace_back(SendToEntry{task.entry, TaskLate{id, task.assignment.attempt, remaining}});
-        out.emplace_back(LogEvent{
-            Severity::Info,
-            "task_late",
-            {{"job", id.jobId},
-             {"task", std::to_string(id.index)},
-             {"attempt", std::to_string(task.assignment.attempt)},
-             {"worker", worker.info.id},
-             {"ran_ms", toMsString(elapsed)},
-             {"percent", std::to_string(task.percent)},
-             {"slowness_percent",
-              std::to_string(static_cast<std::int64_t>(worker.marks.runningSlowness() * 100))}}});
+        out.emplace_back(
+            LogEvent{Severity::Info,
+                     "task_late",
+                     {{"job", id.jobId},
+                      {"task", std::to_string(id.index)},
+                      {"attempt", std::to_string(task.assignment.attempt)},
+                      {"worker", worker.info.id},
+                      {"ran_ms", toMsString(elapsed)},
+                      {"percent", std::to_string(task.percentDone)},
+                      {"slowness_percent", std::to_string(static_cast<std::int64_t>(
+                                               worker.performance.runningSlowness() * 100))}}});
     }
 }
 
--- a/src/taskrunnerqueries.cpp
+++ b/src/taskrunnerqueries.cpp
@@ -1,4 +1,4 @@
-// What entries and the shell ask a task runner: room, inventory, the next timer.
+// Queries of the task runner by entries and the agent process: load, inventory, open tasks.
 
 #include "durations.h"
 #include "taskrunner.h"
@@ -10,9 +10,10 @@
 
 namespace {
 
-constexpr double NearlyFull = 0.7; // of the processor
+constexpr double NearlyFullShare = 0.7; // share of a worker's cores
 
-// In a steady state a running task ends within a time t with probability t / run time.
+// In cores per ms: in a steady state a running task ends within a time t with probability t / run
+// time.
 double coreReleaseRate(const AssignTask &task)
 {
     const double cores = static_cast<double>(task.needs.cpuMillis) / 1000;
@@ -38,10 +39,10 @@
         for (const auto &[id, task] : worker.tasks) {
             if (task.entry != entry)
                 continue;
-            auto &list = task.ranForSure ? inventory.started : inventory.waiting;
+            auto &list = task.isStartConfirmed ? inventory.started : inventory.waiting;
             list.push_back({id, task.assignment.attempt});
         }
-    for (const EndedTask &it : m_ended)
+    for (const EndedTask &it : m_endedTasks)
         if (it.entry == entry)
             inventory.ended.push_back(it.end);
     return inventory;
@@ -58,7 +59,7 @@
 std::uint64_t TaskRunner::lastAssignmentNumberOf(Incarnation entry) const
 {
     const auto from = m_entries.find(entry);
-    return from == m_entries.end() ? 0 : from->second.assignments;
+    return from == m_entries.end() ? 0 : from->second.lastAssignment;
 }
 
 std::vector<WorkerLoad> TaskRunner::loads(TimePoint now) const
@@ -67,8 +68,8 @@
     for (const auto &[id, worker] : m_workers) {
         WorkerLoad load;
         load.workerId = id;
-        load.free = worker.info.capacity - used(worker);
-        load.isUsable = m_mayStart && worker.isSynced && worker.orphans.empty()
+        load.free = worker.info.capacity - usedResources(worker);
+        load.isUsable = m_startsAllowed && worker.isSynced && worker.orphans.empty()
                         && !worker.info.isDraining && !worker.isUnresponsive && !m_shuttingDown;
         std::map<int, Resources> queued;
         for (const auto &[taskId, task] : worker.tasks) {
@@ -79,9 +80,9 @@
         }
         for (const auto &[priority, needs] : queued)
             load.queued.push_back({priority, needs});
-        load.coreReleaseRate /= std::max(1.0, worker.marks.meanSlowness());
-        load.slowness = worker.marks.slowness(now);
-        load.failureRate = worker.marks.failureRate(now);
+        load.coreReleaseRate /= std::max(1.0, worker.performance.meanSlowness());
+        load.slowness = worker.performance.slowness(now);
+        load.failureRate = worker.performance.failureRate(now);
         loads.push_back(std::move(load));
     }
     return loads;
@@ -91,8 +92,8 @@
 {
     return std::any_of(m_workers.begin(), m_workers.end(), [this](const auto &it) {
         const Worker &worker = it.second;
-        return static_cast<double>(used(worker).cpuMillis)
-               > NearlyFull * static_cast<double>(worker.info.capacity.cpuMillis);
+        return static_cast<double>(usedResources(worker).cpuMillis)
+               > NearlyFullShare * static_cast<double>(worker.info.capacity.cpuMillis);
     });
 }
 
--- a/src/workerperformance.cpp
+++ b/src/workerperformance.cpp
@@ -1,4 +1,4 @@
-// Exponentially weighted means that return to good marks with time.
+// Exponentially weighted means that return to those of a good worker with time.
 
 #include "workerperformance.h"
 
@@ -13,107 +13,112 @@
 
 namespace {
 
-// What runs is judged by its progress once it ran this long in sum.
-constexpr double MinElapsedMs = 40;
-constexpr double RoundedOff = 0.5; // of a percentage, in the mean
-constexpr double SlowWorker = 3;   // times the expected run time
-constexpr double StuckWorker = 6;
-constexpr std::size_t EnoughJobs = 4;
-constexpr double MaxSlowness = 20; // a worker at which tasks stand still
-constexpr double MaxRatio = 10;    // one stuck task must not condemn a worker
-// Weights of the newest end in the running means of a worker's speed and failures.
-constexpr double NewestSpeed = 0.1;
-constexpr double NewestEnd = 0.15;
-constexpr double SlownessMemoryMs = 2500;
-constexpr double FailureMemoryMs = 800;
-constexpr double BadSlowness = 1.4;
-constexpr double BadFailureShare = 0.1;
-
-double decay(Duration age, double memoryMs)
+// Progress is evaluated once the runs have taken this long in sum.
+constexpr double MinTotalElapsedMs = 40;
+constexpr double MeanRoundingError = 0.5; // in percent, as percentages are rounded down
+// Slowness of jobs that shows a slow worker: the median of many jobs must reach the first value,
+// the least of a few jobs the second.
+constexpr double SlowThreshold = 3;
+constexpr double StuckThreshold = 6;
+constexpr std::size_t MinJobsForMedian = 4;
+constexpr double MaxSlowness = 20;     // of a worker whose tasks make no progress
+constexpr double MaxRunTimeRatio = 10; // limits the effect of one stuck task on the mean
+// Weights of the newest end in the means of slowness and failures.
+constexpr double SlownessWeight = 0.1;
+constexpr double FailureWeight = 0.15;
+// Time constants of the decay.
+constexpr double SlownessDecayMs = 2500;
+constexpr double FailureDecayMs = 800;
+// Above one of these limits a worker performs poorly.
+constexpr double PoorSlowness = 1.4;
+constexpr double PoorFailureRate = 0.1;
+
+double decayFactor(Duration age, double timeConstantMs)
 {
-    return std::exp(-toMs(age) / memoryMs);
+    return std::exp(-toMs(age) / timeConstantMs);
 }
 
-double fadedSlowness(double slowness, Duration age)
+double decayedSlowness(double slowness, Duration age)
 {
-    return slowness > 1 ? 1 + (slowness - 1) * decay(age, SlownessMemoryMs) : slowness;
+    return slowness > 1 ? 1 + (slowness - 1) * decayFactor(age, SlownessDecayMs) : slowness;
 }
 
 } // namespace
 
-void WorkerPerformance::fade(TimePoint now)
+void WorkerPerformance::decay(TimePoint now)
 {
-    m_slowness = fadedSlowness(m_slowness, now - m_judgedAt);
-    m_failureShare *= decay(now - m_judgedAt, FailureMemoryMs);
-    m_judgedAt = now;
+    m_slowness = decayedSlowness(m_slowness, now - m_decayedAt);
+    m_failureRate *= decayFactor(now - m_decayedAt, FailureDecayMs);
+    m_decayedAt = now;
 }
 
-void WorkerPerformance::ended(const TaskId &task, TaskEnd end, Duration runTime,
-                              Duration expectedRun, TimePoint now)
+void WorkerPerformance::recordEnd(const TaskId &task, TaskEnd end, Duration runTime,
+                                  Duration expectedRun, TimePoint now)
 {
-    fade(now);
+    decay(now);
     if (end == TaskEnd::Done && expectedRun > Duration{}) {
         const double ratio = toMs(runTime) / toMs(expectedRun);
-        m_slowness += NewestSpeed * (std::min(ratio, MaxRatio) - m_slowness);
+        m_slowness += SlownessWeight * (std::min(ratio, MaxRunTimeRatio) - m_slowness);
     }
-    // A job that fails everywhere must not cost one worker its standing by many tasks.
-    if (end == TaskEnd::Failed && task.jobId == m_failedJob)
+    // A job that fails on every worker must not ruin the failure rate of one worker by its many
+    // tasks.
+    if (end == TaskEnd::Failed && task.jobId == m_lastFailedJob)
         return;
     if (end == TaskEnd::Failed)
-        m_failedJob = task.jobId;
+        m_lastFailedJob = task.jobId;
     if (end == TaskEnd::Done || end == TaskEnd::Failed)
-        m_failureShare += NewestEnd * ((end == TaskEnd::Failed) - m_failureShare);
+        m_failureRate += FailureWeight * ((end == TaskEnd::Failed) - m_failureRate);
 }
 
-// Tells a slow worker from long tasks. Long ones make up more of what runs at a moment than of what
-// is started, and the tasks of a job are long together. So each job counts once, and half of the
-// jobs must be slow.
-void WorkerPerformance::progressed(std::span<const RunProgress> runs, TimePoint now)
+// Distinguishes a slow worker from long tasks. Long tasks are more frequent among those that run at
+// a moment than among those that are started, and the tasks of a job are long together. So each job
+// counts once, and half of the jobs must be slow.
+void WorkerPerformance::recordProgress(std::span<const RunProgress> runs, TimePoint now)
 {
     struct Sum
     {
         double elapsedMs = 0;
-        double workMs = 0; // done, by the expected run times
+        double workMs = 0; // work done, in ms of expected run time
     };
     std::map<std::string_view, Sum> jobs;
     double elapsedMs = 0;
     for (const RunProgress &it : runs) {
         Sum &job = jobs[it.jobId];
         job.elapsedMs += toMs(it.elapsed);
-        job.workMs += (it.percent + RoundedOff) / 100 * toMs(it.expected);
+        job.workMs += (it.percentDone + MeanRoundingError) / 100 * toMs(it.expected);
         elapsedMs += toMs(it.elapsed);
     }
     m_runningSlowness = 0;
-    if (elapsedMs < MinElapsedMs)
+    if (elapsedMs < MinTotalElapsedMs)
         return;
     std::vector<double> slowness;
     slowness.reserve(jobs.size());
     for (const auto &[id, it] : jobs)
         slowness.push_back(std::min(it.elapsedMs / std::max(it.workMs, 1.0), MaxSlowness));
-    // Few jobs tell a slow worker only if each of them hardly moves.
-    const bool areEnough = slowness.size() >= EnoughJobs;
-    const auto typical = slowness.begin() + (areEnough ? (slowness.size() - 1) / 2 : 0);
+    // A few jobs show a slow worker only if each of them hardly makes progress.
+    const bool usesMedian = slowness.size() >= MinJobsForMedian;
+    const auto typical = slowness.begin() + (usesMedian ? (slowness.size() - 1) / 2 : 0);
     std::nth_element(slowness.begin(), typical, slowness.end());
-    if (*typical < (areEnough ? SlowWorker : StuckWorker))
+    if (*typical < (usesMedian ? SlowThreshold : StuckThreshold))
         return;
     m_runningSlowness = *typical;
-    fade(now);
+    decay(now);
     m_slowness = std::max(m_slowness, *typical);
 }
 
-bool WorkerPerformance::isBad() const
+bool WorkerPerformance::isPoor() const
 {
-    return m_slowness > BadSlowness || m_failureShare > BadFailureShare;
+    return m_slowness > PoorSlowness || m_failureRate > PoorFailureRate;
 }
 
 double WorkerPerformance::slowness(TimePoint now) const
 {
-    return std::max(fadedSlowness(m_slowness, now - m_judgedAt), m_runningSlowness);
+    return std::max(decayedSlowness(m_slowness, now - m_decayedAt), m_runningSlowness);
 }
 
 double WorkerPerformance::failureRate(TimePoint now) const
 {
-    return m_failureShare * decay(now - m_judgedAt, FailureMemoryMs);
+    return m_failureRate * decayFactor(now - m_decayedAt, FailureDecayMs);
 }
 
 } // namespace cactuscove
--- a/src/workerperformance.h
+++ b/src/workerperformance.h
@@ -1,7 +1,9 @@
-// What the newest tasks of a worker tell about it: its speed and how often it fails. Answers
-// workers that are slow, stand still or fail at once what they start while they say that they are
-// well: such a worker looks idle and would draw the work. Bad marks fade, so that it is tried
-// again.
+// Speed and failure rate of one worker, measured by its newest tasks. Detects workers that are
+// slow, make no progress or fail every task at once while they report that they are well: such a
+// worker looks idle and would attract the tasks. Poor figures decay with time, so that the worker
+// is tried again.
+//
+// Reads no clock: inputs carry the time.
 
 #pragma once
 
@@ -13,39 +15,54 @@
 
 namespace cactuscove {
 
-// One task that runs at a worker.
+// A task that runs on the worker.
 struct RunProgress
 {
     std::string_view jobId;
-    Duration elapsed{};
-    Duration expected{}; // run time
-    int percent = 0;     // of its work, rounded down
+    Duration elapsed{};  // since its start
+    Duration expected{}; // expected run time
+    int percentDone = 0; // of its work, 0 to 100, rounded down
 };
 
+// Used by TaskRunner, one object per process of a worker. Slowness is the run time as a multiple of
+// the expected one. The failure rate is the share of failed tasks, 0 to 1.
 class WorkerPerformance
 {
 public:
     // Commands
-    void ended(const TaskId &task, TaskEnd end, Duration runTime, Duration expectedRun,
-               TimePoint now);
-    void progressed(std::span<const RunProgress> runs, TimePoint now); // all that run
-    void fade(TimePoint now);
+
+    // A task of the worker has ended. Stopped and lost tasks do not count, nor do further failures
+    // of the job that failed last.
+    void recordEnd(const TaskId &task, TaskEnd end, Duration runTime, Duration expectedRun,
+                   TimePoint now);
+    // `runs` are all tasks that run now. Raises the slowness at once if their progress shows a slow
+    // worker.
+    void recordProgress(std::span<const RunProgress> runs, TimePoint now);
+    // Applies the decay since the last command, so that isPoor() is up to date.
+    void decay(TimePoint now);
 
     // Queries
-    bool isBad() const; // as of the newest command
+
+    // Slow or failing, as of the newest command.
+    bool isPoor() const;
+    // The newest recordProgress() showed a slow worker.
     bool isRunningSlow() const { return m_runningSlowness > 0; }
+    // Slowness by the newest recordProgress(); 0 if that showed no slow worker.
     double runningSlowness() const { return m_runningSlowness; }
+    // Mean slowness of the newest ends, as of the newest command.
     double meanSlowness() const { return m_slowness; }
-    double slowness(TimePoint now) const; // times the expected run time
+    // The larger one of the mean slowness, decayed until `now`, and the running slowness.
+    double slowness(TimePoint now) const;
     double failureRate(TimePoint now) const;
 
 private:
-    double m_slowness = 1; // mean of the newest ends
-    double m_runningSlowness
-        = 0;                   // by the progress of what runs; 0: too little to tell, or not slow
-    double m_failureShare = 0; // of the newest ends
-    TimePoint m_judgedAt{};    // when the means were faded last
-    std::string m_failedJob;   // of the newest failure
+    // Exponentially weighted mean over ends, raised by the progress of slow runs.
+    double m_slowness = 1;
+    // By the progress of what runs; 0: too little to tell, or not slow.
+    double m_runningSlowness = 0;
+    double m_failureRate = 0;    // exponentially weighted mean over ends
+    TimePoint m_decayedAt{};     // time up to which the means are decayed
+    std::string m_lastFailedJob; // id of the job that failed last
 };
 
 } // namespace cactuscove
--- a/tests/workerperformance_test.cpp
+++ b/tests/workerperformance_test.cpp
@@ -1,4 +1,4 @@
-// Marks of workers: who is taken for slow or failing, and for how long.
+// Performance of workers: which ones count as slow or failing, and for how long.
 
 #include "workerperformance.h"
 
@@ -20,7 +20,7 @@
     return {job, 0};
 }
 
-// Runs of these jobs, each expected to take 100 ms.
+// Progress of one run for each of these jobs; each run is expected to take 100 ms.
 std::vector<RunProgress> runs(std::initializer_list<std::string_view> jobs, Duration elapsed,
                               int percent)
 {
@@ -30,110 +30,113 @@
     return all;
 }
 
-void endTasks(WorkerPerformance &marks, int count, TaskEnd end, Duration runTime)
+void endTasks(WorkerPerformance &performance, int count, TaskEnd end, Duration runTime)
 {
     for (int i = 0; i < count; ++i)
-        marks.ended(taskOf("job" + std::to_string(i)), end, runTime, 100ms, Start);
+        performance.recordEnd(taskOf("job" + std::to_string(i)), end, runTime, 100ms, Start);
 }
 
 } // namespace
 
+// Guards against avoiding a worker whose run times are only a little longer than expected.
 TEST(WorkerPerformance, AWorkerThatKeepsToTheExpectedTimesIsGood)
 {
-    WorkerPerformance marks;
-    endTasks(marks, 50, TaskEnd::Done, 110ms);
-    EXPECT_FALSE(marks.isBad());
-    EXPECT_LT(marks.slowness(Start), 1.2);
-    EXPECT_EQ(marks.failureRate(Start), 0);
+    WorkerPerformance performance;
+    endTasks(performance, 50, TaskEnd::Done, 110ms);
+    EXPECT_FALSE(performance.isPoor());
+    EXPECT_LT(performance.slowness(Start), 1.2);
+    EXPECT_EQ(performance.failureRate(Start), 0);
 }
 
-// Guards against a failing worker that draws the work because it looks idle.
+// Guards against a failing worker that attracts the tasks because it looks idle.
 TEST(WorkerPerformance, AFailingWorkerIsBadAfterFewFailures)
 {
-    WorkerPerformance marks;
-    endTasks(marks, 3, TaskEnd::Failed, 1ms);
-    EXPECT_TRUE(marks.isBad());
-    EXPECT_GT(marks.failureRate(Start), 0.3);
+    WorkerPerformance performance;
+    endTasks(performance, 3, TaskEnd::Failed, 1ms);
+    EXPECT_TRUE(performance.isPoor());
+    EXPECT_GT(performance.failureRate(Start), 0.3);
 }
 
-// Guards against workers that lose their standing by one job that fails everywhere.
+// Guards against workers that are avoided because of one job that fails on every worker.
 TEST(WorkerPerformance, ManyFailedTasksOfOneJobCountOnce)
 {
-    WorkerPerformance marks;
-    marks.ended(taskOf("job"), TaskEnd::Failed, 1ms, 100ms, Start);
-    const double once = marks.failureRate(Start);
+    WorkerPerformance performance;
+    performance.recordEnd(taskOf("job"), TaskEnd::Failed, 1ms, 100ms, Start);
+    const double once = performance.failureRate(Start);
     for (int i = 0; i < 20; ++i)
-        marks.ended(taskOf("job"), TaskEnd::Failed, 1ms, 100ms, Start);
-    EXPECT_EQ(marks.failureRate(Start), once);
+        performance.recordEnd(taskOf("job"), TaskEnd::Failed, 1ms, 100ms, Start);
+    EXPECT_EQ(performance.failureRate(Start), once);
 }
 
-// Guards against a worker that is avoided for good after it has recovered.
+// Guards against a worker that is avoided for ever after it has recovered.
 TEST(WorkerPerformance, BadMarksFade)
 {
-    WorkerPerformance marks;
-    endTasks(marks, 30, TaskEnd::Done, 500ms);
-    endTasks(marks, 10, TaskEnd::Failed, 1ms);
-    EXPECT_GT(marks.slowness(Start), 3);
-    EXPECT_LT(marks.slowness(Start + 10s), 1.1);
-    EXPECT_LT(marks.failureRate(Start + 5s), 0.01);
+    WorkerPerformance performance;
+    endTasks(performance, 30, TaskEnd::Done, 500ms);
+    endTasks(performance, 10, TaskEnd::Failed, 1ms);
+    EXPECT_GT(performance.slowness(Start), 3);
+    EXPECT_LT(performance.slowness(Start + 10s), 1.1);
+    EXPECT_LT(performance.failureRate(Start + 5s), 0.01);
 }
 
-// Guards against waiting for the end of tasks that stand still.
+// Guards against waiting for the end of tasks that make no progress.
 TEST(WorkerPerformance, TasksThatStandStillShowASlowWorker)
 {
-    WorkerPerformance marks;
-    marks.progressed(runs({"a", "b"}, 30ms, 0), Start);
-    EXPECT_TRUE(marks.isRunningSlow());
-    EXPECT_GE(marks.slowness(Start), 20);
+    WorkerPerformance performance;
+    performance.recordProgress(runs({"a", "b"}, 30ms, 0), Start);
+    EXPECT_TRUE(performance.isRunningSlow());
+    EXPECT_GE(performance.slowness(Start), 20);
 }
 
-// Two long tasks are no slow worker; of four, all that are slow are.
+// Guards against a good worker that is avoided because of two long tasks. Four jobs that are all
+// slow do show a slow worker.
 TEST(WorkerPerformance, FewLongTasksDoNotShowASlowWorker)
 {
-    WorkerPerformance marks;
-    marks.progressed(runs({"a", "b"}, 30ms, 7), Start);
-    EXPECT_FALSE(marks.isRunningSlow());
-    marks.progressed(runs({"a", "b", "c", "d"}, 30ms, 7), Start);
-    EXPECT_TRUE(marks.isRunningSlow());
+    WorkerPerformance performance;
+    performance.recordProgress(runs({"a", "b"}, 30ms, 7), Start);
+    EXPECT_FALSE(performance.isRunningSlow());
+    performance.recordProgress(runs({"a", "b", "c", "d"}, 30ms, 7), Start);
+    EXPECT_TRUE(performance.isRunningSlow());
 }
 
-// Guards against a sound worker that is avoided for one job whose run times were declared too
-// short: its tasks are long together.
+// Guards against a good worker that is avoided because of one job with too short declared run
+// times: all its tasks are long.
 TEST(WorkerPerformance, TheTasksOfOneLongJobDoNotShowASlowWorker)
 {
-    WorkerPerformance marks;
-    marks.progressed(runs({"a", "a", "a", "a", "a"}, 30ms, 7), Start);
-    EXPECT_FALSE(marks.isRunningSlow());
+    WorkerPerformance performance;
+    performance.recordProgress(runs({"a", "a", "a", "a", "a"}, 30ms, 7), Start);
+    EXPECT_FALSE(performance.isRunningSlow());
 }
 
-// Guards against a sound worker that is avoided because the long tasks are those that still run.
+// Guards against a good worker that is avoided because long tasks are those that still run.
 TEST(WorkerPerformance, SomeLongJobsAmongOthersDoNotShowASlowWorker)
 {
-    WorkerPerformance marks;
+    WorkerPerformance performance;
     std::vector<RunProgress> all = runs({"a", "b"}, 300ms, 30);
     for (const RunProgress &it : runs({"c", "d"}, 30ms, 28))
         all.push_back(it);
-    marks.progressed(all, Start);
-    EXPECT_FALSE(marks.isRunningSlow());
+    performance.recordProgress(all, Start);
+    EXPECT_FALSE(performance.isRunningSlow());
 }
 
-// A percentage that is rounded down must not make a run that has just begun look slow.
+// Guards against runs that look slow when they have just begun, because their percentage is rounded
+// down.
 TEST(WorkerPerformance, RunsThatHaveJustBegunDoNotShowASlowWorker)
 {
-    WorkerPerformance marks;
+    WorkerPerformance performance;
     std::vector<RunProgress> young = runs({"a", "b", "c", "d"}, 15ms, 1);
     for (RunProgress &it : young)
         it.expected = 800ms;
-    marks.progressed(young, Start);
-    EXPECT_FALSE(marks.isRunningSlow());
+    performance.recordProgress(young, Start);
+    EXPECT_FALSE(performance.isRunningSlow());
 }
 
-// The first 40 ms of runs say nothing.
+// Guards against judging a worker by runs of less than 40 ms in sum.
 TEST(WorkerPerformance, ShortRunsSayNothing)
 {
-    WorkerPerformance marks;
-    marks.progressed(runs({"a", "b", "c", "d"}, 9ms, 0), Start);
-    EXPECT_FALSE(marks.isRunningSlow());
+    WorkerPerformance performance;
+    performance.recordProgress(runs({"a", "b", "c", "d"}, 9ms, 0), Start);
+    EXPECT_FALSE(performance.isRunningSlow());
 }
 
 } // namespace cactuscove
