--- a/src/jobdispatcher.cpp
+++ b/src/jobdispatcher.cpp
@@ -1,4 +1,4 @@
-// Inputs of the dispatcher: callers and time.
+// Inputs of the dispatcher from callers, the assignment of tasks, and timeouts.
 
 #include "jobdispatcher.h"
 
@@ -14,24 +14,32 @@
 
 using namespace std::chrono_literals;
 
-// An assignment that waits longer at an agent goes back to be placed elsewhere.
-constexpr Duration StartPatience = 150ms;
-// The wait is underestimated as often as not, and a job that is late has used room in vain.
-constexpr double WaitMargin = 1.4;
-// Agents prove within this time that withdrawn tasks do not run; else the outcome is unknown.
-constexpr Duration CloseTime = 200ms;
-// The answer must be on its way before the caller's own timer ends.
+// A task that has not started this long after it was assigned is refused by its agent and assigned
+// again, maybe to another worker.
+constexpr Duration MaxWaitAtAgent = 150ms;
+// Half of the waits are longer than estimated, and a job that ends too late has used capacity for
+// nothing.
+constexpr double WaitSafetyFactor = 1.4;
+// Agents confirm within this time that withdrawn tasks do not run; without that the outcome is
+// unknown.
+constexpr Duration CloseTimeout = 200ms;
+// The answer must be sent this long before the caller's timeout or the objective, to arrive in
+// time.
 constexpr Duration AnswerMargin = 8ms;
-// Workers up to this slow are used even if the objective is then missed: the others may be busy.
+// In multiples of the expected run time. Workers up to this slow are used even if the objective is
+// then missed, as faster ones may be busy.
 constexpr double AcceptableSlowness = 1.6;
-constexpr Duration StartupTime = 1500ms;
-// How much later a job counts for each step of its priority.
-constexpr Duration UrgencyStep = 100ms;
-constexpr Duration PastJobMemory = 10s;
+// In this time after its start the entry lets jobs wait for agents to connect.
+constexpr Duration StartupPeriod = 1500ms;
+// Added to the latest start of a job for each step of its queue's priority.
+constexpr Duration PriorityDelay = 100ms;
+// Messages about a job may still come this long after its answer.
+constexpr Duration EndedJobRetention = 10s;
 constexpr Duration MinRetryAfter = 200ms;
 constexpr Duration NoWorkerRetryAfter = 1s;
-// The longest of several tasks takes longer than the mean one.
-constexpr double SpreadPerDoubling = 0.06;
+// The longest of several tasks takes longer than the mean one: by this part of it each time their
+// number doubles.
+constexpr double MakespanPerDoubling = 0.06;
 
 } // namespace
 
@@ -95,31 +103,30 @@
     return {cores, cores * toMs(job.expectedRun)};
 }
 
-// The run time of the whole job when all its tasks run at once.
-Duration JobDispatcher::expectedSpan(const Job &job) const
+Duration JobDispatcher::expectedMakespan(const Job &job) const
 {
     const double doublings = std::log2(std::max<double>(job.spec.taskCount, 1));
     return std::chrono::duration_cast<Duration>(job.expectedRun
-                                                * (1 + SpreadPerDoubling * doublings));
+                                                * (1 + MakespanPerDoubling * doublings));
 }
 
 void JobDispatcher::setState(JobNumber number, Job &job, Task &task, State state)
 {
     if (task.state == state)
         return;
-    const bool wasReady = job.waiting > 0 && !job.closing;
+    const bool wasReady = job.waitingCount > 0 && !job.closingAnswer;
     if (task.state == State::Waiting) {
-        --job.waiting;
-        m_load.unqueued(job.priority, workOf(job, 1));
+        --job.waitingCount;
+        m_loadControl.removeWaiting(job.priority, workOf(job, 1));
     }
     if (state == State::Waiting) {
-        ++job.waiting;
-        m_load.queued(job.priority, workOf(job, 1));
+        ++job.waitingCount;
+        m_loadControl.addWaiting(job.priority, workOf(job, 1));
     }
-    m_unproven += (state == State::Unproven) - (task.state == State::Unproven);
-    job.done += (state == State::Done) - (task.state == State::Done);
+    m_agentLostTasks += (state == State::AgentLost) - (task.state == State::AgentLost);
+    job.doneCount += (state == State::Done) - (task.state == State::Done);
     task.state = state;
-    const bool isReady = job.waiting > 0 && !job.closing;
+    const bool isReady = job.waitingCount > 0 && !job.closingAnswer;
     if (wasReady && !isReady)
         m_ready.erase(rankOf(number, job));
     else if (!wasReady && isReady)
@@ -142,16 +149,16 @@
     out.emplace_back(AnswerJob{caller, answer});
 }
 
-void JobDispatcher::submit(CallerId caller, BestEffortJob spec, Duration patience, TimePoint now,
-                           DispatcherOutbox &out)
+void JobDispatcher::submit(CallerId caller, BestEffortJob spec, Duration callerTimeout,
+                           TimePoint now, DispatcherOutbox &out)
 {
-    enter(now, out);
+    expireAfterSuspension(now, out);
     const QueueSettings *queue = findQueue(spec.queue);
     if (m_shuttingDown || !queue)
         return refuse(caller, spec, m_shuttingDown ? "shutting_down" : "no_queue", {}, out);
     if (const auto open = m_jobsById.find(spec.id); open != m_jobsById.end()) {
         Job &job = m_jobs.at(open->second);
-        if (!job.closing) {
+        if (!job.closingAnswer) {
             job.callers.push_back(caller);
             m_jobsByCaller[caller] = open->second;
             return;
@@ -163,13 +170,13 @@
         out.emplace_back(AnswerJob{caller, {JobOutcome::Completed, {}, {}}});
         return;
     }
-    if (!m_directory.couldEverFit(
+    if (!m_directory.fitsSomeWorker(
             {queue->upstream, spec.needs, 0, {}, spec.requiredLabel, spec.preferredLabel}))
         return refuse(caller, spec, "cannot_run", {}, out);
-    const WorkerDirectory::Room known = m_directory.roomOf(queue->upstream, now);
-    // Agents of a fleet that starts as a whole report within moments; jobs may wait for them.
-    const bool isStarting = now - m_startedAt < StartupTime;
-    if (!spec.needs.fitsIn(known.capacity) && !isStarting)
+    const WorkerDirectory::UsableCapacity usable = m_directory.usableCapacity(queue->upstream, now);
+    // When a whole fleet starts, agents connect within moments; jobs may wait for them.
+    const bool isStarting = now - m_startedAt < StartupPeriod;
+    if (!spec.needs.fitsIn(usable.total) && !isStarting)
         return refuse(caller, spec, "no_upstream", NoWorkerRetryAfter, out);
 
     Job job;
@@ -178,52 +185,53 @@
     job.maxAttempts = std::max(queue->maxAttempts, 1);
     job.upstream = queue->upstream;
     job.arrivedAt = now;
-    job.deadline = now + patience - AnswerMargin;
+    job.deadline = now + callerTimeout - AnswerMargin;
     job.expectedRun = m_runTimes.expect(spec.queue, spec.declared);
     job.spec = std::move(spec);
-    const Duration span = expectedSpan(job);
+    const Duration makespan = expectedMakespan(job);
     job.objectiveAt = now + queue->targetLatency - AnswerMargin
-                      + std::chrono::duration_cast<Duration>(span * queue->slackFactor);
-    job.latestStart = job.objectiveAt - span + UrgencyStep * job.priority;
+                      + std::chrono::duration_cast<Duration>(makespan * queue->slackFactor);
+    job.latestStart = job.objectiveAt - makespan + PriorityDelay * job.priority;
 
-    const FleetRoom room{known.freeCores, shareOf(known.capacity)};
-    const bool mayWait = isStarting && room.shareCores == 0;
-    if (!mayWait && refuseIfOverloaded(caller, job, room, now, out))
+    const AvailableCores available{usable.freeCores, shareOfCores(usable.total)};
+    const bool mayWait = isStarting && available.shareCores == 0;
+    if (!mayWait && refuseIfOverloaded(caller, job, available, now, out))
         return;
     accept(caller, std::move(job));
 }
 
-double JobDispatcher::shareOf(const Resources &capacity) const
+double JobDispatcher::shareOfCores(const Resources &capacity) const
 {
     std::uint32_t entries = 1;
-    for (const auto &[agent, heard] : m_entriesHeard)
-        entries = std::max(entries, heard);
+    for (const auto &[agent, entryCount] : m_entryCounts)
+        entries = std::max(entries, entryCount);
     return static_cast<double>(capacity.cpuMillis) / 1000 / entries;
 }
 
-bool JobDispatcher::refuseIfOverloaded(CallerId caller, const Job &job, const FleetRoom &room,
-                                       TimePoint now, DispatcherOutbox &out) const
+bool JobDispatcher::refuseIfOverloaded(CallerId caller, const Job &job,
+                                       const AvailableCores &available, TimePoint now,
+                                       DispatcherOutbox &out) const
 {
-    const Duration allowed = std::min(job.objectiveAt, job.deadline) - now - expectedSpan(job);
+    const Duration allowed = std::min(job.objectiveAt, job.deadline) - now - expectedMakespan(job);
     const Duration wait
-        = m_load.expectedWait(job.priority, workOf(job, job.spec.taskCount), room, now);
-    if (wait * WaitMargin <= allowed)
+        = m_loadControl.expectedWait(job.priority, workOf(job, job.spec.taskCount), available, now);
+    if (wait * WaitSafetyFactor <= allowed)
         return false;
     const DispatchAnswer answer{JobOutcome::Refused, "overloaded",
                                 std::max(wait - allowed, MinRetryAfter)};
-    out.emplace_back(LogEvent{
-        Severity::Info,
-        "job_refused",
-        {{"job", job.spec.id},
-         {"queue", job.spec.queue},
-         {"reason", answer.reason},
-         {"wait_ms", toMsString(wait)},
-         {"allowed_ms", toMsString(allowed)},
-         {"waiting_core_ms",
-          std::to_string(static_cast<std::int64_t>(m_load.waitingWork(job.priority).coreMs))},
-         {"free_cores", std::to_string(static_cast<std::int64_t>(room.freeCores))},
-         {"cores", std::to_string(static_cast<std::int64_t>(room.shareCores))},
-         {"config", std::to_string(m_config.version)}}});
+    out.emplace_back(
+        LogEvent{Severity::Info,
+                 "job_refused",
+                 {{"job", job.spec.id},
+                  {"queue", job.spec.queue},
+                  {"reason", answer.reason},
+                  {"wait_ms", toMsString(wait)},
+                  {"allowed_ms", toMsString(allowed)},
+                  {"waiting_core_ms", std::to_string(static_cast<std::int64_t>(
+                                          m_loadControl.waitingWork(job.priority).coreMs))},
+                  {"free_cores", std::to_string(static_cast<std::int64_t>(available.freeCores))},
+                  {"cores", std::to_string(static_cast<std::int64_t>(available.shareCores))},
+                  {"config", std::to_string(m_config.version)}}});
     out.emplace_back(AnswerJob{caller, answer});
     return true;
 }
@@ -231,8 +239,8 @@
 void JobDispatcher::accept(CallerId caller, Job job)
 {
     std::uint32_t attempt = 0;
-    if (const auto past = m_pastJobs.find(job.spec.id); past != m_pastJobs.end())
-        attempt = past->second.attempt;
+    if (const auto endedJob = m_endedJobs.find(job.spec.id); endedJob != m_endedJobs.end())
+        attempt = endedJob->second.lastAttempt;
     const JobNumber number = ++m_lastJob;
     m_jobsById[job.spec.id] = number;
     m_jobsByCaller[caller] = number;
@@ -240,14 +248,14 @@
     it.tasks.resize(it.spec.taskCount);
     for (Task &task : it.tasks)
         task.attempt = attempt;
-    it.waiting = it.tasks.size();
-    m_load.queued(it.priority, workOf(it, it.waiting));
+    it.waitingCount = it.tasks.size();
+    m_loadControl.addWaiting(it.priority, workOf(it, it.waitingCount));
     m_ready.insert(rankOf(number, it));
 }
 
 void JobDispatcher::callerDisconnected(CallerId caller, TimePoint now, DispatcherOutbox &out)
 {
-    enter(now, out);
+    expireAfterSuspension(now, out);
     const auto found = m_jobsByCaller.find(caller);
     if (found == m_jobsByCaller.end())
         return;
@@ -255,7 +263,7 @@
     m_jobsByCaller.erase(found);
     Job &job = m_jobs.at(number);
     std::erase(job.callers, caller);
-    if (job.callers.empty() && !job.closing)
+    if (job.callers.empty() && !job.closingAnswer)
         beginClosing(number, job, {JobOutcome::Unknown, "caller_gone", {}}, now, out);
 }
 
@@ -269,10 +277,10 @@
 void JobDispatcher::beginClosing(JobNumber number, Job &job, DispatchAnswer answer, TimePoint now,
                                  DispatcherOutbox &out)
 {
-    if (job.waiting > 0)
+    if (job.waitingCount > 0)
         m_ready.erase(rankOf(number, job));
-    job.closing = std::move(answer);
-    job.closeBy = now + CloseTime;
+    job.closingAnswer = std::move(answer);
+    job.closeDeadline = now + CloseTimeout;
     for (std::uint32_t i = 0; i < job.tasks.size(); ++i) {
         Task &task = job.tasks[i];
         if (task.state != State::Assigned && task.state != State::Running)
@@ -280,19 +288,19 @@
         withdraw(job, i, out);
         setState(number, job, task, State::Withdrawn);
     }
-    checkClosed(number, now, out);
+    finishIfClosed(number, now, out);
 }
 
-// A closing job ends once no task of it may run. Refused stands only if none was ever started.
-void JobDispatcher::checkClosed(JobNumber number, TimePoint now, DispatcherOutbox &out)
+// The outcome Unknown becomes Refused if no task was ever started.
+void JobDispatcher::finishIfClosed(JobNumber number, TimePoint now, DispatcherOutbox &out)
 {
     Job &job = m_jobs.at(number);
     const bool mayRun = std::any_of(job.tasks.begin(), job.tasks.end(), [](const Task &it) {
-        return it.state == State::Withdrawn || it.state == State::Unproven;
+        return it.state == State::Withdrawn || it.state == State::AgentLost;
     });
     if (mayRun)
         return;
-    DispatchAnswer answer = *job.closing;
+    DispatchAnswer answer = *job.closingAnswer;
     if (answer.outcome == JobOutcome::Unknown && !job.mayHaveStarted) {
         answer.outcome = JobOutcome::Refused;
         answer.retryAfter = std::max(answer.retryAfter, MinRetryAfter);
@@ -311,7 +319,7 @@
         attempt = std::max(attempt, task.attempt);
         if (task.state == State::Assigned || task.state == State::Running)
             withdraw(job, i, out);
-        if (task.state == State::Waiting || task.state == State::Unproven)
+        if (task.state == State::Waiting || task.state == State::AgentLost)
             setState(number, job, task, State::Withdrawn);
     }
     const auto since
@@ -323,7 +331,7 @@
                                {"outcome", std::string(nameOf(answer.outcome))},
                                {"reason", answer.reason},
                                {"tasks", std::to_string(job.tasks.size())},
-                               {"done", std::to_string(job.done)},
+                               {"done", std::to_string(job.doneCount)},
                                {"callers", std::to_string(job.callers.size())},
                                {"first_start_ms", since(job.firstStartAt)},
                                {"took_ms", toMsString(now - job.arrivedAt)},
@@ -332,18 +340,18 @@
                                {"attempt", std::to_string(attempt)},
                                {"config", std::to_string(m_config.version)}}});
     if (answer.outcome == JobOutcome::Completed)
-        m_load.answered(now > job.objectiveAt);
+        m_loadControl.recordAnswer(now > job.objectiveAt);
     for (const CallerId caller : job.callers) {
         out.emplace_back(AnswerJob{caller, answer});
         m_jobsByCaller.erase(caller);
     }
     if (attempt > 0)
-        m_pastJobs[job.spec.id] = {attempt, now};
+        m_endedJobs[job.spec.id] = {attempt, now};
     m_jobsById.erase(job.spec.id);
     m_jobs.erase(it);
 }
 
-// Placing
+// Placement
 
 WorkerDirectory::Request JobDispatcher::requestOf(const Job &job, const Task &task,
                                                   TimePoint now) const
@@ -352,12 +360,14 @@
     request.upstream = job.upstream;
     request.needs = job.spec.needs;
     request.priority = job.priority;
-    request.avoid = task.avoid;
+    request.avoidedWorkers = task.avoidedWorkers;
     request.requiredLabel = job.spec.requiredLabel;
     request.preferredLabel = job.spec.preferredLabel;
-    const TimePoint by = now + job.expectedRun < job.objectiveAt ? job.objectiveAt : job.deadline;
-    request.maxSlowness
-        = std::max(toMs(by - now) / std::max(toMs(job.expectedRun), 1.0), AcceptableSlowness);
+    // The task should meet the objective, or if it cannot, the caller's deadline.
+    const TimePoint endTarget
+        = now + job.expectedRun < job.objectiveAt ? job.objectiveAt : job.deadline;
+    request.maxSlowness = std::max(toMs(endTarget - now) / std::max(toMs(job.expectedRun), 1.0),
+                                   AcceptableSlowness);
     return request;
 }
 
@@ -365,22 +375,22 @@
                               DispatcherOutbox &out)
 {
     Task &task = job.tasks[index];
-    const auto worker = m_directory.choose(requestOf(job, task, now), now);
+    const auto worker = m_directory.chooseWorker(requestOf(job, task, now), now);
     if (!worker)
         return false;
-    const auto startDeadline = m_directory.agentTime(worker->agent, now + StartPatience);
-    const auto endDeadline = m_directory.agentTime(worker->agent, job.deadline);
+    const auto startDeadline = m_directory.agentClockAt(worker->agent, now + MaxWaitAtAgent);
+    const auto endDeadline = m_directory.agentClockAt(worker->agent, job.deadline);
     if (!startDeadline || !endDeadline)
         return false;
     ++task.attempt;
     task.worker = *worker;
     task.agentName = m_agents[worker->agent].name;
     setState(number, job, task, State::Assigned);
-    m_load.started(job.priority, workOf(job, 1), now);
+    m_loadControl.recordStart(job.priority, workOf(job, 1), now);
     AssignTask message;
     message.task = {job.spec.id, index};
     message.attempt = task.attempt;
-    message.workerId = worker->worker;
+    message.workerId = worker->workerId;
     message.queue = job.spec.queue;
     message.payload = job.spec.payload;
     message.needs = job.spec.needs;
@@ -388,82 +398,85 @@
     message.expectedRun = job.expectedRun;
     message.startDeadline = *startDeadline;
     message.endDeadline = *endDeadline;
-    message.objectiveTime = *m_directory.agentTime(worker->agent, job.objectiveAt);
-    message.schedulingKey = *m_directory.agentTime(worker->agent, job.latestStart);
-    message.number = m_directory.book(*worker, job.priority, job.spec.needs);
+    message.objectiveTime = *m_directory.agentClockAt(worker->agent, job.objectiveAt);
+    message.schedulingKey = *m_directory.agentClockAt(worker->agent, job.latestStart);
+    message.number = m_directory.reserve(*worker, job.priority, job.spec.needs);
     out.emplace_back(SendToAgent{worker->agent, std::move(message)});
     return true;
 }
 
-// A job that finds no room keeps the ones after it from taking what becomes free for it.
-void JobDispatcher::place(TimePoint now, DispatcherOutbox &out)
+// A job that finds no capacity keeps the later ones of its upstream from taking what becomes free
+// for it.
+void JobDispatcher::placeWaitingTasks(TimePoint now, DispatcherOutbox &out)
 {
-    std::set<std::string> full; // upstreams
+    std::set<std::string> fullUpstreams; // upstreams without capacity for their next job
     const std::vector<Rank> ranks(m_ready.begin(), m_ready.end());
     for (const Rank &rank : ranks) {
         Job &job = m_jobs.at(rank.number);
-        if (full.count(job.upstream))
+        if (fullUpstreams.count(job.upstream))
             continue;
         for (std::uint32_t i = 0; i < job.tasks.size(); ++i) {
             if (job.tasks[i].state != State::Waiting)
                 continue;
             if (!placeTask(rank.number, job, i, now, out)) {
-                full.insert(job.upstream);
+                fullUpstreams.insert(job.upstream);
                 break;
             }
         }
     }
 }
 
-// Time
+// Timeouts
 
-void JobDispatcher::expire(TimePoint now, DispatcherOutbox &out)
+void JobDispatcher::expireJobs(TimePoint now, DispatcherOutbox &out)
 {
-    std::erase_if(m_pastJobs,
-                  [&](const auto &it) { return now - it.second.endedAt > PastJobMemory; });
-    std::vector<JobNumber> numbers;
-    numbers.reserve(m_jobs.size());
+    std::erase_if(m_endedJobs,
+                  [&](const auto &it) { return now - it.second.endedAt > EndedJobRetention; });
+    std::vector<JobNumber> jobNumbers;
+    jobNumbers.reserve(m_jobs.size());
     for (const auto &[number, job] : m_jobs)
-        numbers.push_back(number);
-    for (const JobNumber number : numbers) {
+        jobNumbers.push_back(number);
+    for (const JobNumber number : jobNumbers) {
         Job &job = m_jobs.at(number);
         for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
-            if (job.tasks[i].state == State::Unproven && now >= job.tasks[i].provenAt) {
-                job.mayHaveStarted = true; // it has ended by now, if it ran
-                onProof(number, job, i, now, out);
+            if (job.tasks[i].state == State::AgentLost && now >= job.tasks[i].attemptEndsBy) {
+                job.mayHaveStarted = true; // the attempt may have run, and has ended by now
+                requeueTask(number, job, i, now, out);
                 if (!m_jobs.count(number))
                     break;
             }
         if (!m_jobs.count(number))
             continue;
-        if (job.closing) {
-            if (now >= job.closeBy)
-                finish(number, *job.closing, now, out);
+        if (job.closingAnswer) {
+            if (now >= job.closeDeadline)
+                finish(number, *job.closingAnswer, now, out);
             continue;
         }
-        const bool isUntouched = job.waiting == job.tasks.size() && !job.mayHaveStarted;
+        const bool isUnassigned = job.waitingCount == job.tasks.size() && !job.mayHaveStarted;
         if (now >= job.deadline)
             beginClosing(number, job, {JobOutcome::Unknown, "deadline", {}}, now, out);
-        else if (isUntouched && now + expectedSpan(job) > std::min(job.objectiveAt, job.deadline))
+        else if (isUnassigned
+                 && now + expectedMakespan(job) > std::min(job.objectiveAt, job.deadline))
             finish(number, {JobOutcome::Refused, "overloaded", MinRetryAfter}, now, out);
     }
 }
 
 void JobDispatcher::processPending(TimePoint now, DispatcherOutbox &out)
 {
-    m_enteredAt = now;
+    m_lastInputAt = now;
     if (now >= m_nextExpiry)
-        expire(now, out);
-    place(now, out);
+        expireJobs(now, out);
+    placeWaitingTasks(now, out);
     m_nextExpiry = earliestExpiry();
 }
 
-// After a suspension, what has expired meanwhile must go before an input is handled.
-void JobDispatcher::enter(TimePoint now, DispatcherOutbox &out)
+// After a suspension of the process, jobs whose time ran out meanwhile must end before an input is
+// handled.
+void JobDispatcher::expireAfterSuspension(TimePoint now, DispatcherOutbox &out)
 {
-    if (now - m_enteredAt > SuspensionGap)
-        expire(now, out);
-    m_enteredAt = now;
+    if (now - m_lastInputAt > SuspensionGap)
+        expireJobs(now, out);
+    m_lastInputAt = now;
 }
 
 void JobDispatcher::beginShutdown()
@@ -475,20 +488,20 @@
 {
     TimePoint next = NeverTime;
     for (const auto &[number, job] : m_jobs) {
-        if (job.closing) {
-            next = std::min(next, job.closeBy);
+        if (job.closingAnswer) {
+            next = std::min(next, job.closeDeadline);
             continue;
         }
         next = std::min(next, job.deadline);
-        if (job.waiting == job.tasks.size() && !job.mayHaveStarted)
-            next = std::min(next, std::min(job.objectiveAt, job.deadline) - expectedSpan(job)
+        if (job.waitingCount == job.tasks.size() && !job.mayHaveStarted)
+            next = std::min(next, std::min(job.objectiveAt, job.deadline) - expectedMakespan(job)
                                       + Duration(1));
     }
-    if (m_unproven > 0)
+    if (m_agentLostTasks > 0)
         for (const auto &[number, job] : m_jobs)
             for (const Task &task : job.tasks)
-                if (task.state == State::Unproven)
-                    next = std::min(next, task.provenAt);
+                if (task.state == State::AgentLost)
+                    next = std::min(next, task.attemptEndsBy);
     return next;
 }
 
--- a/src/jobdispatcher.h
+++ b/src/jobdispatcher.h
@@ -1,13 +1,16 @@
-// Coordinates best-effort jobs at the entry that took them: accepts or refuses, places tasks,
-// repeats failed ones, answers. Nothing else knows the job.
+// Coordinates best-effort jobs at the entry that received them: accepts or refuses a job, assigns
+// its tasks to workers, repeats failed tasks and answers the caller. No other process knows the
+// job, and nothing of it is stored.
 //
-// A task is placed again only after a proof that its last attempt does not run and never will: an
-// end or a refusal by its agent, the inventory of the agent after a new connection, the hello of
-// the agent's next process, or the time after which every bound in taskrunner.h has expired. A
-// caller is told that a job was not run only if no attempt of any task was started.
+// A task is assigned again only when it is certain that its last attempt neither runs nor will run.
+// That is known from an end or a refusal that the agent reports, from the inventory that the agent
+// sends on a new connection, from the inventory of the agent's next process once the worker runs
+// nothing that an earlier process started, or when so much time has passed that every bound in
+// taskrunner.h has expired (DispatcherSettings::lostAgentTimeout). A caller is told that a job was
+// not run only if no attempt of any task has started.
 //
-// No socket and no clock: inputs carry the time, which must count suspension of the machine. Inputs
-// only change the state; processPending() acts on it.
+// Does no I/O and reads no clock: inputs carry the current time, which must count suspension of the
+// machine. Inputs only change the state; processPending() acts on it.
 
 #pragma once
 
@@ -28,130 +31,166 @@
 
 namespace cactuscove {
 
-// How a best-effort job ended for its caller.
+// How a best-effort job ended, as its caller is told.
 enum class JobOutcome {
-    Completed, // every task ended done
-    Failed,    // a task failed as often as its queue allows
-    Refused,   // nothing of it was started, and nothing will be
-    Unknown,   // given up; parts may have run
+    Completed, // every task has ended as done
+    Failed,    // one task failed in as many attempts as its queue allows
+    Refused,   // no task was started, and none will be
+    Unknown,   // given up; some tasks may have run
 };
 
-std::string_view nameOf(JobOutcome outcome); // as in logs and metrics
+std::string_view nameOf(JobOutcome outcome); // the name used in logs and metrics
 
+// The answer to a caller's job.
 struct DispatchAnswer
 {
     JobOutcome outcome = JobOutcome::Unknown;
-    std::string reason;    // empty for Completed
-    Duration retryAfter{}; // for Refused: when there will be room
+    // One word, such as "overloaded"; empty for Completed.
+    std::string reason;
+    // Refused: how long the caller should wait before it sends the job again.
+    Duration retryAfter{};
 };
 
+// Effect: answer the waiting request of this caller.
 struct AnswerJob
 {
     CallerId caller;
     DispatchAnswer answer;
 };
 
+// Effect: send a message on the connection to an agent.
 struct SendToAgent
 {
     Incarnation agent;
     PeerMessage message;
 };
 
+// What the dispatcher asks its entry process to do. The effects of an outbox are carried out in
+// order.
 using DispatcherEffect = std::variant<AnswerJob, SendToAgent, LogEvent>;
 using DispatcherOutbox = std::vector<DispatcherEffect>;
 
 struct DispatcherSettings
 {
-    std::uint64_t seed = 0;
-    // A run that an agent was told to start has ended this long after the agent was last heard.
+    std::uint64_t seed = 0; // for the random choice of workers
+    // A run that an agent was told to start has ended this long after the last message from the
+    // agent. Counted from the end of the connection.
     Duration lostAgentTimeout = std::chrono::milliseconds(1800);
 };
 
+// The best-effort jobs of one entry process, which calls it from its event loop.
 class JobDispatcher
 {
 public:
+    // `startedAt` is the start of the process. For a short time after it jobs may wait for agents
+    // to connect.
     JobDispatcher(DispatcherSettings settings, TimePoint startedAt);
 
     // Commands
+
+    // Replaces the configuration for new jobs. Open jobs keep the settings of their arrival.
     void configure(DispatchConfig config, DispatcherOutbox &out);
-    // `patience` is how long the caller waits from now.
-    void submit(CallerId caller, BestEffortJob job, Duration patience, TimePoint now,
+    // A new job from a caller that waits for `callerTimeout` from `now`. Its answer follows as
+    // AnswerJob, at once if the job is refused. If a job with the same id is open, the caller gets
+    // the answer of that job.
+    void submit(CallerId caller, BestEffortJob job, Duration callerTimeout, TimePoint now,
                 DispatcherOutbox &out);
+    // The caller closed its connection before the answer. A job is given up when its last caller
+    // has left.
     void callerDisconnected(CallerId caller, TimePoint now, DispatcherOutbox &out);
+    // To be called after the hello of an agent, once for each connection.
     void onAgentConnected(const PeerHello &agent, TimePoint now, DispatcherOutbox &out);
+    // The agent's runs may go on: its tasks are not assigned again before a later inventory or the
+    // lostAgentTimeout.
     void onAgentDisconnected(Incarnation agent, TimePoint now, DispatcherOutbox &out);
+    // Any message of a connected agent but the hello.
     void onMessage(Incarnation agent, const PeerMessage &message, TimePoint now,
                    DispatcherOutbox &out);
-    // Gives up what has expired and places what waits. To be called after inputs, once for several,
-    // and at nextTimer().
+    // Ends jobs whose time has run out and assigns waiting tasks to workers. To be called after
+    // inputs, once for several of them, and at nextTimer().
     void processPending(TimePoint now, DispatcherOutbox &out);
-    void beginShutdown(); // no new jobs from now on
+    void beginShutdown(); // new jobs are refused, open jobs go on
 
     // Queries
-    const DispatchConfig &config() const { return m_config; }
+
+    const DispatchConfig &config() const { return m_config; } // version 0 before configure()
+    // nullptr if the configuration has no queue of this name.
     const QueueSettings *findQueue(std::string_view name) const;
+    // Jobs without an answer.
     std::size_t openJobs() const { return m_jobs.size(); }
-    std::size_t waitingJobs(std::string_view queue) const; // nothing of which has started
+    // Open jobs of the queue of which no task has started.
+    std::size_t waitingJobs(std::string_view queue) const;
     const WorkerDirectory &workers() const { return m_directory; }
+    // Time of the next job to end for lack of time, as of the newest processPending(); NeverTime
+    // without one.
     TimePoint nextTimer() const { return m_nextExpiry; }
 
 private:
+    // State of a task.
     enum class State {
-        Waiting,
+        Waiting,  // for a worker with free capacity
         Assigned, // sent to an agent, not known to have started
         Running,
-        Withdrawn, // asked to be stopped; the agent's proof is awaited
-        Unproven,  // its agent is not connected; may run
+        Withdrawn, // its agent was asked to cancel it and has not confirmed that yet
+        AgentLost, // its agent is not connected; it may still run
         Done,
     };
 
     struct Task
     {
         State state = State::Waiting;
-        std::uint32_t attempt = 0; // newest
-        int failures = 0;
-        int moves = 0; // away from workers where it was late
-        WorkerKey worker;
-        std::string agentName;
-        TimePoint unprovenAt{};
-        TimePoint provenAt = NeverTime; // Unproven: has ended by then
-        std::vector<WorkerKey> avoid;   // where it failed, was refused or was too slow
+        std::uint32_t attempt = 0; // number of the newest attempt
+        int failureCount = 0;      // attempts that ended as failed
+        int moveCount = 0;         // times that it was stopped on a slow worker to run elsewhere
+        WorkerKey worker;          // of the newest attempt
+        std::string agentName;     // of the newest attempt; the same across restarts of the agent
+        TimePoint agentLostAt{};   // AgentLost: when the connection ended
+        // AgentLost: the attempt has ended by then; NeverTime while an agent that is connected
+        // again has not listed its tasks.
+        TimePoint attemptEndsBy = NeverTime;
+        // Workers where it failed, was refused or ran too slowly.
+        std::vector<WorkerKey> avoidedWorkers;
     };
 
+    // Number of an accepted job, from 1 in each process.
     using JobNumber = std::uint64_t;
 
     struct Job
     {
-        std::vector<CallerId> callers; // of this id; empty once all have left
+        std::vector<CallerId> callers; // all that wait for this id; empty once they have left
         BestEffortJob spec;
-        int priority = 0;
-        int maxAttempts = 1;
+        int priority = 0;    // of the queue; 0 comes first
+        int maxAttempts = 1; // failed attempts of one task after which the job has failed
         std::string upstream;
         TimePoint arrivedAt{};
         TimePoint objectiveAt{}; // an answer by then meets the queue's objective
-        TimePoint deadline{};    // the caller waits no longer
-        Duration expectedRun{};
-        TimePoint latestStart{};     // to meet the objective
-        bool mayHaveStarted = false; // some task; else the job may be refused
-        std::optional<DispatchAnswer>
-            closing;         // its tasks are being withdrawn; then this is the answer
-        TimePoint closeBy{}; // without the proofs by then the outcome is Unknown
+        TimePoint deadline{};    // the caller waits no longer than this
+        Duration expectedRun{};  // of one task
+        // Latest start that meets the objective, with a delay for less urgent queues.
+        TimePoint latestStart{};
+        // Some task may have started. As long as this is false, the job may be refused.
+        bool mayHaveStarted = false;
+        // Set while the tasks are being withdrawn; sent when none of them may run any more.
+        std::optional<DispatchAnswer> closingAnswer;
+        // The closing answer is sent at this time even if tasks may still run.
+        TimePoint closeDeadline{};
         std::vector<Task> tasks;
-        std::size_t waiting = 0;
-        std::size_t done = 0;
-        TimePoint firstStartAt{};
+        std::size_t waitingCount = 0; // tasks in state Waiting
+        std::size_t doneCount = 0;    // tasks in state Done
+        TimePoint firstStartAt{};     // TimePoint{} if no start is known
     };
 
-    // Attempts of a job that comes again must be higher than those that may still run.
-    struct PastJob
+    // An answered job. If its id is submitted again, the new attempts must have higher numbers than
+    // those that may still run.
+    struct EndedJob
     {
-        std::uint32_t attempt = 0;
+        std::uint32_t lastAttempt = 0; // highest number that was used
         TimePoint endedAt{};
     };
 
-    // Order in which jobs get room: by the latest start that meets their objective, a little
-    // later for less urgent queues. A strict order by priority would leave begun jobs of less
-    // urgent queues behind, and their finished tasks would be lost.
+    // Order in which jobs get capacity: by the latest start that meets their objective, a little
+    // later for less urgent queues. With a strict order by priority, begun jobs of less urgent
+    // queues would not be finished, and the work of their finished tasks would be lost.
     struct Rank
     {
         TimePoint latestStart;
@@ -160,62 +199,85 @@
     };
 
     Rank rankOf(JobNumber number, const Job &job) const;
-    Work workOf(const Job &job, std::size_t tasks) const; // of that many of its tasks
+    Work workOf(const Job &job, std::size_t tasks) const; // demand of `tasks` tasks of the job
+    // Changes the state and the counters, load figures and ready jobs that depend on it.
     void setState(JobNumber number, Job &job, Task &task, State state);
-    void place(TimePoint now, DispatcherOutbox &out);
+    // Assigns waiting tasks in the order of rank, as far as there is capacity.
+    void placeWaitingTasks(TimePoint now, DispatcherOutbox &out);
+    // Sends the task to a worker; false if none has capacity for it.
     bool placeTask(JobNumber number, Job &job, std::uint32_t index, TimePoint now,
                    DispatcherOutbox &out);
     WorkerDirectory::Request requestOf(const Job &job, const Task &task, TimePoint now) const;
-    void enter(TimePoint now, DispatcherOutbox &out);
+    // First step of each input.
+    void expireAfterSuspension(TimePoint now, DispatcherOutbox &out);
     TimePoint earliestExpiry() const;
-    void expire(TimePoint now, DispatcherOutbox &out);
+    void expireJobs(TimePoint now, DispatcherOutbox &out);
+    // Withdraws all tasks that may run. The job ends when all of them are confirmed, or at its
+    // closeDeadline.
     void beginClosing(JobNumber number, Job &job, DispatchAnswer answer, TimePoint now,
                       DispatcherOutbox &out);
+    // Answers all callers and removes the job.
     void finish(JobNumber number, DispatchAnswer answer, TimePoint now, DispatcherOutbox &out);
+    // Asks the agent to cancel the newest attempt of the task.
     void withdraw(const Job &job, std::uint32_t index, DispatcherOutbox &out) const;
-    // Cores of the fleet that this entry may count on, beside the others.
-    double shareOf(const Resources &capacity) const;
-    bool refuseIfOverloaded(CallerId caller, const Job &job, const FleetRoom &room, TimePoint now,
-                            DispatcherOutbox &out) const;
+    // The part of the cores in `capacity` that this entry may count on; the other entries use the
+    // rest.
+    double shareOfCores(const Resources &capacity) const;
+    // Answers the caller and returns true if the job would wait too long for its objective.
+    bool refuseIfOverloaded(CallerId caller, const Job &job, const AvailableCores &available,
+                            TimePoint now, DispatcherOutbox &out) const;
     void accept(CallerId caller, Job job);
+    // Answers the caller of a job that is not accepted.
     void refuse(CallerId caller, const BestEffortJob &job, std::string reason, Duration retryAfter,
                 DispatcherOutbox &out);
-    void onStarted(Incarnation agent, const TaskStarted &message, TimePoint now,
-                   DispatcherOutbox &out);
-    void onLate(Incarnation agent, const TaskLate &message, TimePoint now, DispatcherOutbox &out);
-    void onEnded(Incarnation agent, const TaskEnded &message, TimePoint now, DispatcherOutbox &out);
+    void onTaskStarted(Incarnation agent, const TaskStarted &message, TimePoint now,
+                       DispatcherOutbox &out);
+    void onTaskLate(Incarnation agent, const TaskLate &message, TimePoint now,
+                    DispatcherOutbox &out);
+    void onTaskEnded(Incarnation agent, const TaskEnded &message, TimePoint now,
+                     DispatcherOutbox &out);
     void onStartRefused(Incarnation agent, const StartRefused &message, TimePoint now,
                         DispatcherOutbox &out);
     void onInventory(Incarnation agent, const TaskInventory &inventory, TimePoint now,
                      DispatcherOutbox &out);
-    // The attempt does not run and never will: the task waits again or the job ends.
-    void onProof(JobNumber number, Job &job, std::uint32_t index, TimePoint now,
-                 DispatcherOutbox &out);
-    void checkClosed(JobNumber number, TimePoint now, DispatcherOutbox &out);
-    // The open job whose task has this attempt at this agent; none for messages that came too late.
+    // To be called when it is certain that the newest attempt neither runs nor will run. The task
+    // waits to be assigned again; a job that is closing may end.
+    void requeueTask(JobNumber number, Job &job, std::uint32_t index, TimePoint now,
+                     DispatcherOutbox &out);
+    // Ends a closing job none of whose tasks may run any more.
+    void finishIfClosed(JobNumber number, TimePoint now, DispatcherOutbox &out);
+    // The open job whose task has this attempt at this agent; {0, nullptr} if there is none, for
+    // example because the message came too late.
     std::pair<JobNumber, Job *> findJob(const TaskId &task, Incarnation agent,
                                         std::uint32_t attempt);
-    static void avoid(Task &task);
-    void onUnknownTask(Incarnation agent, const TaskStarted &task, DispatcherOutbox &out) const;
-    Duration expectedSpan(const Job &job) const;
+    // Adds the worker of the newest attempt to those that the task avoids.
+    static void avoidCurrentWorker(Task &task);
+    // Stops a run that belongs to no open job.
+    void withdrawUnknownTask(Incarnation agent, const TaskStarted &task,
+                             DispatcherOutbox &out) const;
+    // Run time of the job from its first start if all tasks run at once.
+    Duration expectedMakespan(const Job &job) const;
 
     DispatcherSettings m_settings;
     TimePoint m_startedAt;
     DispatchConfig m_config;
     WorkerDirectory m_directory;
-    LoadControl m_load;
+    LoadControl m_loadControl;
     RunTimeModel m_runTimes;
     std::map<JobNumber, Job> m_jobs;
     std::map<std::string, JobNumber, std::less<>> m_jobsById;
-    std::map<std::string, PastJob, std::less<>> m_pastJobs; // lately; agents may still tell of them
+    // Jobs answered in the last 10 s, by id; agents may still send messages about them.
+    std::map<std::string, EndedJob, std::less<>> m_endedJobs;
     std::map<CallerId, JobNumber> m_jobsByCaller;
-    std::set<Rank> m_ready;                    // jobs with waiting tasks that are not being closed
-    std::map<Incarnation, PeerHello> m_agents; // connected
+    // Jobs with waiting tasks, without those that are closing.
+    std::set<Rank> m_ready;
+    std::map<Incarnation, PeerHello> m_agents; // connected agents
     JobNumber m_lastJob = 0;
-    std::int64_t m_unproven = 0;        // tasks in that state
+    std::int64_t m_agentLostTasks = 0;  // tasks in state AgentLost
     TimePoint m_nextExpiry = NeverTime; // as of the newest processPending()
-    TimePoint m_enteredAt{};
-    std::map<Incarnation, std::uint32_t> m_entriesHeard; // as the agents report
+    TimePoint m_lastInputAt{};          // time of the newest input
+    // Number of entries that each connected agent has a connection to, as it reports.
+    std::map<Incarnation, std::uint32_t> m_entryCounts;
     bool m_shuttingDown = false;
 };
 
--- a/src/jobdispatcheragents.cpp
+++ b/src/jobdispatcheragents.cpp
@@ -1,4 +1,4 @@
-// Inputs of the dispatcher from agents: connections, loads, starts, ends and inventories.
+// Inputs of the dispatcher from agents: connections, loads, starts and ends of tasks, inventories.
 
 #include "durations.h"
 #include "jobdispatcher.h"
@@ -13,56 +13,59 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration RefusedPause = 20ms;    // of a worker that refused a start
-constexpr Duration UnhealthyPause = 250ms; // of a worker that refuses all starts
-// A task that is late at that many workers is long itself.
+constexpr Duration RefusalPause = 20ms;    // without new tasks for a worker that refused one
+constexpr Duration UnhealthyPause = 250ms; // the same for one that refuses all starts
+// A task that was slow on this many workers is a long task, so moving it again does not help.
 constexpr int MaxMoves = 2;
-// Time to stop a run and start it elsewhere.
+// Time to stop a run and to start the task on another worker.
 constexpr Duration MoveTime = 12ms;
-// Agents list ends for a little longer than this.
-constexpr Duration InventoryMemory = 3s;
-constexpr std::uint32_t AttemptStep = 16; // to get above attempts that others made
+// Agents list an end in their inventories for at least this long (EndedTaskRetention in
+// taskrunner.cpp is 4 s).
+constexpr Duration InventoryRetention = 3s;
+// Raises the attempt number of a task above those that other entries have used.
+constexpr std::uint32_t AttemptStep = 16;
 
 } // namespace
 
 void JobDispatcher::onAgentConnected(const PeerHello &agent, TimePoint now, DispatcherOutbox &out)
 {
-    enter(now, out);
+    expireAfterSuspension(now, out);
     m_agents[agent.instance] = agent;
     m_directory.agentConnected(agent.instance, agent.name, agent.dataCentre, now);
-    // While the agent hears this entry, it goes on with its tasks: no time proves anything.
+    // While the agent hears from this entry it lets the tasks run, so no time limit for their ends
+    // holds. Its inventory tells which of them it knows.
     for (auto &[number, job] : m_jobs)
         for (Task &task : job.tasks)
-            if (task.state == State::Unproven && task.worker.agent == agent.instance)
-                task.provenAt = NeverTime;
+            if (task.state == State::AgentLost && task.worker.agent == agent.instance)
+                task.attemptEndsBy = NeverTime;
 }
 
 void JobDispatcher::onAgentDisconnected(Incarnation agent, TimePoint now, DispatcherOutbox &out)
 {
-    enter(now, out);
+    expireAfterSuspension(now, out);
     m_directory.agentDisconnected(agent);
     m_agents.erase(agent);
-    m_entriesHeard.erase(agent);
+    m_entryCounts.erase(agent);
     for (auto &[number, job] : m_jobs) {
         for (Task &task : job.tasks) {
             const bool mayRun = task.state == State::Assigned || task.state == State::Running
-                                || task.state == State::Withdrawn || task.state == State::Unproven;
+                                || task.state == State::Withdrawn || task.state == State::AgentLost;
             if (!mayRun || task.worker.agent != agent)
                 continue;
-            if (task.state != State::Unproven) {
-                task.unprovenAt = now;
+            if (task.state != State::AgentLost) {
+                task.agentLostAt = now;
                 out.emplace_back(
                     LogEvent{Severity::Warning,
                              "task_unproven",
                              {{"job", job.spec.id},
                               {"task", std::to_string(&task - job.tasks.data())},
                               {"attempt", std::to_string(task.attempt)},
-                              {"worker", task.worker.worker},
+                              {"worker", task.worker.workerId},
                               {"agent", task.agentName},
                               {"proven_in_ms", toMsString(m_settings.lostAgentTimeout)}}});
             }
-            task.provenAt = now + m_settings.lostAgentTimeout;
-            setState(number, job, task, State::Unproven);
+            task.attemptEndsBy = now + m_settings.lostAgentTimeout;
+            setState(number, job, task, State::AgentLost);
         }
     }
 }
@@ -70,21 +73,21 @@
 void JobDispatcher::onMessage(Incarnation agent, const PeerMessage &message, TimePoint now,
                               DispatcherOutbox &out)
 {
-    enter(now, out);
+    expireAfterSuspension(now, out);
     m_directory.agentHeard(agent, now);
-    if (const auto *beat = std::get_if<PeerHeartbeat>(&message)) {
-        m_directory.agentClock(agent, beat->sentAt, now);
-        m_entriesHeard[agent] = beat->entries;
+    if (const auto *heartbeat = std::get_if<PeerHeartbeat>(&message)) {
+        m_directory.updateAgentClock(agent, heartbeat->sentAt, now);
+        m_entryCounts[agent] = heartbeat->entries;
     } else if (const auto *update = std::get_if<WorkerUpdate>(&message)) {
-        m_directory.update(agent, *update);
+        m_directory.updateWorker(agent, *update);
     } else if (const auto *load = std::get_if<WorkerLoad>(&message)) {
-        m_directory.load(agent, *load);
+        m_directory.updateLoad(agent, *load);
     } else if (const auto *started = std::get_if<TaskStarted>(&message)) {
-        onStarted(agent, *started, now, out);
+        onTaskStarted(agent, *started, now, out);
     } else if (const auto *late = std::get_if<TaskLate>(&message)) {
-        onLate(agent, *late, now, out);
+        onTaskLate(agent, *late, now, out);
     } else if (const auto *ended = std::get_if<TaskEnded>(&message)) {
-        onEnded(agent, *ended, now, out);
+        onTaskEnded(agent, *ended, now, out);
     } else if (const auto *refused = std::get_if<StartRefused>(&message)) {
         onStartRefused(agent, *refused, now, out);
     } else if (const auto *inventory = std::get_if<TaskInventory>(&message)) {
@@ -102,18 +105,18 @@
     if (task.index >= job.tasks.size())
         return {};
     const Task &known = job.tasks[task.index];
-    const bool isOut = known.state != State::Waiting && known.state != State::Done;
-    if (!isOut || known.attempt != attempt || known.worker.agent != agent)
+    const bool mayRun = known.state != State::Waiting && known.state != State::Done;
+    if (!mayRun || known.attempt != attempt || known.worker.agent != agent)
         return {};
     return {it->second, &job};
 }
 
-void JobDispatcher::onStarted(Incarnation agent, const TaskStarted &message, TimePoint now,
-                              DispatcherOutbox &out)
+void JobDispatcher::onTaskStarted(Incarnation agent, const TaskStarted &message, TimePoint now,
+                                  DispatcherOutbox &out)
 {
     const auto [number, job] = findJob(message.task, agent, message.attempt);
     if (!job)
-        return onUnknownTask(agent, message, out);
+        return withdrawUnknownTask(agent, message, out);
     Task &task = job->tasks[message.task.index];
     if (!job->mayHaveStarted) {
         job->mayHaveStarted = true;
@@ -123,39 +126,42 @@
         setState(number, *job, task, State::Running);
 }
 
-void JobDispatcher::avoid(Task &task)
+void JobDispatcher::avoidCurrentWorker(Task &task)
 {
-    if (std::find(task.avoid.begin(), task.avoid.end(), task.worker) == task.avoid.end())
-        task.avoid.push_back(task.worker);
+    if (std::find(task.avoidedWorkers.begin(), task.avoidedWorkers.end(), task.worker)
+        == task.avoidedWorkers.end())
+        task.avoidedWorkers.push_back(task.worker);
 }
 
-void JobDispatcher::onUnknownTask(Incarnation agent, const TaskStarted &task,
-                                  DispatcherOutbox &out) const
+void JobDispatcher::withdrawUnknownTask(Incarnation agent, const TaskStarted &task,
+                                        DispatcherOutbox &out) const
 {
     out.emplace_back(SendToAgent{agent, WithdrawTask{task.task, task.attempt}});
 }
 
-// A run that would end in time elsewhere, or much sooner, is stopped and placed again.
-void JobDispatcher::onLate(Incarnation agent, const TaskLate &message, TimePoint now,
-                           DispatcherOutbox &out)
+// Stops a run on a slow worker if the task would meet its objective on another one, or end much
+// sooner there.
+void JobDispatcher::onTaskLate(Incarnation agent, const TaskLate &message, TimePoint now,
+                               DispatcherOutbox &out)
 {
     const auto [number, job] = findJob(message.task, agent, message.attempt);
-    if (!job || job->closing)
+    if (!job || job->closingAnswer)
         return;
     Task &task = job->tasks[message.task.index];
-    if (task.state != State::Running || task.moves >= MaxMoves)
+    if (task.state != State::Running || task.moveCount >= MaxMoves)
         return;
-    const Duration elsewhere = MoveTime + job->expectedRun;
-    const bool meetsObjective = now + elsewhere <= job->objectiveAt;
-    const bool isMuchSooner = elsewhere * 2 < message.remaining && now + elsewhere < job->deadline;
+    const Duration moveRunTime = MoveTime + job->expectedRun;
+    const bool meetsObjective = now + moveRunTime <= job->objectiveAt;
+    const bool isMuchSooner
+        = moveRunTime * 2 < message.remaining && now + moveRunTime < job->deadline;
     if (!meetsObjective && !isMuchSooner)
         return;
-    Task elsewhereTask = task;
-    avoid(elsewhereTask);
-    if (!m_directory.choose(requestOf(*job, elsewhereTask, now), now))
-        return; // no room elsewhere
-    avoid(task);
-    ++task.moves;
+    Task movedTask = task;
+    avoidCurrentWorker(movedTask);
+    if (!m_directory.chooseWorker(requestOf(*job, movedTask, now), now))
+        return; // no other worker has capacity
+    avoidCurrentWorker(task);
+    ++task.moveCount;
     withdraw(*job, message.task.index, out);
     setState(number, *job, task, State::Withdrawn);
     out.emplace_back(LogEvent{Severity::Info,
@@ -163,45 +169,45 @@
                               {{"job", job->spec.id},
                                {"task", std::to_string(message.task.index)},
                                {"attempt", std::to_string(message.attempt)},
-                               {"worker", task.worker.worker},
+                               {"worker", task.worker.workerId},
                                {"remaining_ms", toMsString(message.remaining)},
                                {"expected_ms", toMsString(job->expectedRun)},
                                {"objective_ms", toMsString(job->objectiveAt - now)}}});
 }
 
-void JobDispatcher::onEnded(Incarnation agent, const TaskEnded &message, TimePoint now,
-                            DispatcherOutbox &out)
+void JobDispatcher::onTaskEnded(Incarnation agent, const TaskEnded &message, TimePoint now,
+                                DispatcherOutbox &out)
 {
     const auto [number, job] = findJob(message.task, agent, message.attempt);
     if (!job)
         return;
-    // An end proves a start, also if the message about it was lost with a connection.
-    onStarted(agent, {message.task, message.attempt}, now, out);
+    // An end implies a start, also if the message about the start was lost with a connection.
+    onTaskStarted(agent, {message.task, message.attempt}, now, out);
     Task &task = job->tasks[message.task.index];
     if (message.end == TaskEnd::Done) {
         m_runTimes.learn(job->spec.queue, message.runTime, job->spec.declared);
         setState(number, *job, task, State::Done);
-        if (job->done == job->tasks.size())
+        if (job->doneCount == job->tasks.size())
             finish(number, {JobOutcome::Completed, {}, {}}, now, out);
-        else if (job->closing)
-            checkClosed(number, now, out);
+        else if (job->closingAnswer)
+            finishIfClosed(number, now, out);
         return;
     }
-    avoid(task);
-    if (message.end == TaskEnd::Failed && ++task.failures >= job->maxAttempts) {
+    avoidCurrentWorker(task);
+    if (message.end == TaskEnd::Failed && ++task.failureCount >= job->maxAttempts) {
         setState(number, *job, task, State::Waiting);
         finish(number, {JobOutcome::Failed, "task_failed", {}}, now, out);
         return;
     }
-    onProof(number, *job, message.task.index, now, out);
+    requeueTask(number, *job, message.task.index, now, out);
 }
 
-void JobDispatcher::onProof(JobNumber number, Job &job, std::uint32_t index, TimePoint now,
-                            DispatcherOutbox &out)
+void JobDispatcher::requeueTask(JobNumber number, Job &job, std::uint32_t index, TimePoint now,
+                                DispatcherOutbox &out)
 {
     setState(number, job, job.tasks[index], State::Waiting);
-    if (job.closing)
-        checkClosed(number, now, out);
+    if (job.closingAnswer)
+        finishIfClosed(number, now, out);
 }
 
 void JobDispatcher::onStartRefused(Incarnation agent, const StartRefused &message, TimePoint now,
@@ -213,69 +219,72 @@
     Task &task = job->tasks[message.task.index];
     if (message.reason == StartRefusal::OldAttempt)
         task.attempt += AttemptStep;
-    const bool isSick = message.reason == StartRefusal::Unhealthy
-                        || message.reason == StartRefusal::NoWorker
-                        || message.reason == StartRefusal::Draining;
+    const bool isWorkerUnavailable = message.reason == StartRefusal::Unhealthy
+                                     || message.reason == StartRefusal::NoWorker
+                                     || message.reason == StartRefusal::Draining;
     if (message.reason != StartRefusal::OldAttempt && message.reason != StartRefusal::Withdrawn)
-        m_directory.pause(task.worker, now + (isSick ? UnhealthyPause : RefusedPause));
-    avoid(task);
-    onProof(number, *job, message.task.index, now, out);
+        m_directory.pauseWorker(task.worker,
+                                now + (isWorkerUnavailable ? UnhealthyPause : RefusalPause));
+    avoidCurrentWorker(task);
+    requeueTask(number, *job, message.task.index, now, out);
 }
 
-// What the agent does not list after a new connection it never received, since it reads no older
-// connection any more. What an earlier process of the agent ran has ended at workers that are
-// clear.
+// An assignment that the agent does not list after a new connection was not received and never will
+// be, since the agent no longer reads the older connection. Runs that an earlier process of the
+// agent started have ended at the workers that the inventory names as free of them.
 void JobDispatcher::onInventory(Incarnation agent, const TaskInventory &inventory, TimePoint now,
                                 DispatcherOutbox &out)
 {
-    const auto named = m_agents.find(agent);
-    if (named == m_agents.end())
+    const auto connected = m_agents.find(agent);
+    if (connected == m_agents.end())
         return;
     for (const TaskEnded &it : inventory.ended)
-        onEnded(agent, it, now, out);
+        onTaskEnded(agent, it, now, out);
     std::set<std::pair<TaskId, std::uint32_t>> listed;
     for (const auto *list : {&inventory.started, &inventory.waiting})
         for (const TaskStarted &it : *list) {
             listed.insert({it.task, it.attempt});
             const auto [number, job] = findJob(it.task, agent, it.attempt);
             if (!job) {
-                onUnknownTask(agent, it, out);
+                withdrawUnknownTask(agent, it, out);
                 continue;
             }
             Task &task = job->tasks[it.task.index];
-            if (task.state != State::Unproven)
+            if (task.state != State::AgentLost)
                 continue;
-            if (job->closing) {
+            if (job->closingAnswer) {
                 withdraw(*job, it.task.index, out);
                 setState(number, *job, task, State::Withdrawn);
             } else {
                 setState(number, *job, task, State::Assigned);
                 if (list == &inventory.started)
-                    onStarted(agent, it, now, out);
+                    onTaskStarted(agent, it, now, out);
             }
         }
-    const std::vector<std::string> &clear = inventory.orphanFreeWorkers;
-    std::vector<std::pair<JobNumber, std::uint32_t>> proven;
+    const std::vector<std::string> &orphanFree = inventory.orphanFreeWorkers;
+    std::vector<std::pair<JobNumber, std::uint32_t>> requeued;
     for (auto &[number, job] : m_jobs)
         for (std::uint32_t i = 0; i < job.tasks.size(); ++i) {
             const Task &task = job.tasks[i];
-            if (task.state != State::Unproven || task.agentName != named->second.name)
+            if (task.state != State::AgentLost || task.agentName != connected->second.name)
                 continue;
             const bool isSameProcess = task.worker.agent == agent;
             const bool isListed = listed.count({{job.spec.id, i}, task.attempt}) > 0;
-            const bool isClear
-                = std::find(clear.begin(), clear.end(), task.worker.worker) != clear.end();
-            if (isSameProcess ? !isListed : isClear)
-                proven.emplace_back(number, i);
-            // Only the same process remembers whether it started the task, and for a while.
-            job.mayHaveStarted |= !isSameProcess && isClear;
+            const bool isOrphanFree
+                = std::find(orphanFree.begin(), orphanFree.end(), task.worker.workerId)
+                  != orphanFree.end();
+            if (isSameProcess ? !isListed : isOrphanFree)
+                requeued.emplace_back(number, i);
+            // Another process does not know whether the task was started, and the same process
+            // forgets it after a while.
+            job.mayHaveStarted |= !isSameProcess && isOrphanFree;
             job.mayHaveStarted
-                |= isSameProcess && !isListed && now - task.unprovenAt > InventoryMemory;
+                |= isSameProcess && !isListed && now - task.agentLostAt > InventoryRetention;
         }
-    for (const auto &[number, index] : proven) {
+    for (const auto &[number, index] : requeued) {
         const auto it = m_jobs.find(number);
         if (it != m_jobs.end())
-            onProof(number, it->second, index, now, out);
+            requeueTask(number, it->second, index, now, out);
     }
 }
 
--- a/src/loadcontrol.cpp
+++ b/src/loadcontrol.cpp
@@ -1,4 +1,4 @@
-// Rates decay exponentially, so that a burst that has ended does not count.
+// Rates decay exponentially, so that a burst stops counting soon after its end.
 
 #include "loadcontrol.h"
 
@@ -11,51 +11,57 @@
 
 namespace {
 
-constexpr double RateMemoryMs = 500;
-// Part of the cores that a less urgent priority may count on whatever the more urgent ones use.
-constexpr double FloorShare = 0.1;
-constexpr double NewestAnswer = 0.05;   // weight in the share of late answers
-constexpr double UsualLateShare = 0.08; // by the expected run time, while there is room for all
-constexpr double LateWeight = 12;
-constexpr double SmallestRate = 0.001; // cores; keeps the wait finite without a fleet
+// Time constant of the rates of starts.
+constexpr double RateDecayMs = 500;
+// Share of the cores that a less urgent priority may count on, however much the more urgent ones
+// use.
+constexpr double MinCoreShare = 0.1;
+constexpr double AnswerWeight = 0.05; // weight of the newest answer in the share of late ones
+// Share of answers that are late while capacity is sufficient, as run times differ from the
+// expected ones.
+constexpr double NormalLateFraction = 0.08;
+// Waits are corrected by this factor times the share of late answers above the normal one.
+constexpr double LateCorrection = 12;
+constexpr double MinStartRate = 0.001; // cores; keeps the wait finite without a fleet
 
 } // namespace
 
-void LoadControl::queued(int priority, const Work &work)
+void LoadControl::addWaiting(int priority, const Work &work)
 {
-    Work &waiting = m_levels[priority].waiting;
+    Work &waiting = m_priorities[priority].waiting;
     waiting.cores += work.cores;
     waiting.coreMs += work.coreMs;
 }
 
-void LoadControl::unqueued(int priority, const Work &work)
+void LoadControl::removeWaiting(int priority, const Work &work)
 {
-    Work &waiting = m_levels[priority].waiting;
+    Work &waiting = m_priorities[priority].waiting;
     waiting.cores = std::max(0.0, waiting.cores - work.cores);
     waiting.coreMs = std::max(0.0, waiting.coreMs - work.coreMs);
 }
 
-double LoadControl::rateOf(const Level &level, TimePoint now) const
+double LoadControl::startRateOf(const PriorityLoad &level, TimePoint now) const
 {
-    return level.rate * std::exp(-std::max(0.0, toMs(now - level.ratedAt)) / RateMemoryMs);
+    return level.startRate
+           * std::exp(-std::max(0.0, toMs(now - level.rateUpdatedAt)) / RateDecayMs);
 }
 
-void LoadControl::started(int priority, const Work &work, TimePoint now)
+void LoadControl::recordStart(int priority, const Work &work, TimePoint now)
 {
-    Level &level = m_levels[priority];
-    level.rate = rateOf(level, now) + work.coreMs / RateMemoryMs;
-    level.ratedAt = now;
+    PriorityLoad &level = m_priorities[priority];
+    level.startRate = startRateOf(level, now) + work.coreMs / RateDecayMs;
+    level.rateUpdatedAt = now;
 }
 
-void LoadControl::answered(bool isLate)
+void LoadControl::recordAnswer(bool isLate)
 {
-    m_lateShare += NewestAnswer * (isLate - m_lateShare);
+    m_lateFraction += AnswerWeight * (isLate - m_lateFraction);
 }
 
 Work LoadControl::waitingWork(int priority) const
 {
     Work sum;
-    for (const auto &[level, it] : m_levels) {
+    for (const auto &[level, it] : m_priorities) {
         if (level > priority)
             continue;
         sum.cores += it.waiting.cores;
@@ -64,28 +70,31 @@
     return sum;
 }
 
-Duration LoadControl::expectedWait(int priority, const Work &job, const FleetRoom &room,
+Duration LoadControl::expectedWait(int priority, const Work &job, const AvailableCores &available,
                                    TimePoint now) const
 {
     const Work waiting = waitingWork(priority);
-    const double cores = waiting.cores + job.cores;
-    if (cores <= room.freeCores)
+    const double requiredCores = waiting.cores + job.cores;
+    if (requiredCores <= available.freeCores)
         return {};
-    // The part that finds no room now starts at the rate at which running tasks end.
-    const double blocked = 1 - std::max(0.0, room.freeCores) / cores;
-    double urgent = 0;
-    double all = 0;
-    for (const auto &[level, it] : m_levels) {
-        const double rate = rateOf(it, now);
-        all += rate;
+    // The part that finds no free cores now starts at the rate at which running tasks end.
+    const double blockedShare = 1 - std::max(0.0, available.freeCores) / requiredCores;
+    double urgentRate = 0;
+    double totalStartRate = 0;
+    for (const auto &[level, it] : m_priorities) {
+        const double rate = startRateOf(it, now);
+        totalStartRate += rate;
         if (level < priority)
-            urgent += rate;
+            urgentRate += rate;
     }
-    // What was started lately shows what this entry gets, and is a lower bound while nothing waits.
-    const double total = std::max(room.shareCores, all);
-    const double rate = std::max({total - urgent, total * FloorShare, SmallestRate});
-    const double correction = 1 + LateWeight * std::max(0.0, m_lateShare - UsualLateShare);
-    return fromMs((waiting.coreMs + job.coreMs) * blocked / rate * correction);
+    // Recent starts show what this entry gets of the fleet. While nothing waits they are a lower
+    // bound.
+    const double totalCores = std::max(available.shareCores, totalStartRate);
+    const double rate
+        = std::max({totalCores - urgentRate, totalCores * MinCoreShare, MinStartRate});
+    const double correction
+        = 1 + LateCorrection * std::max(0.0, m_lateFraction - NormalLateFraction);
+    return fromMs((waiting.coreMs + job.coreMs) * blockedShare / rate * correction);
 }
 
 } // namespace cactuscove
--- a/src/loadcontrol.h
+++ b/src/loadcontrol.h
@@ -1,6 +1,9 @@
-// Expected waiting time of a new job at one entry, from the work that waits before it and the rate
-// at which such work has been started lately. Answers a load that exceeds the fleet for some
-// seconds: a job that would wait longer than its objective allows is refused when it arrives.
+// Expected waiting time of a new job at one entry, computed from the work that waits before it and
+// the rate at which such work was started lately. Protects against a load that exceeds the fleet
+// for some seconds: a job that would wait longer than its objective allows is refused when it
+// arrives.
+//
+// Reads no clock: inputs carry the time.
 
 #pragma once
 
@@ -10,52 +13,63 @@
 
 namespace cactuscove {
 
-// Processor time of tasks, in core-milliseconds.
+// CPU time of tasks, in core-milliseconds: cores times run time in ms.
 using CoreMs = double;
 
-// What one or several tasks take.
+// Demand of one or several tasks.
 struct Work
 {
-    double cores = 0;
+    double cores = 0; // that they use while they run
     CoreMs coreMs = 0;
 };
 
-// What an entry knows of the fleet when a job arrives.
-struct FleetRoom
+// Cores of the fleet for an upstream, as the entry knows them when a job arrives.
+struct AvailableCores
 {
-    double freeCores = 0;  // by the newest reports
-    double shareCores = 0; // of the whole capacity, the part that this entry may count on
+    double freeCores = 0;  // free cores by the newest reports
+    double shareCores = 0; // the part of all cores that this entry may count on
 };
 
+// Used by JobDispatcher, one object per entry process. A smaller priority is more urgent.
 class LoadControl
 {
 public:
     // Commands
-    void queued(int priority, const Work &work);   // a task began to wait
-    void unqueued(int priority, const Work &work); // it was sent to a worker, or given up
-    void started(int priority, const Work &work, TimePoint now);
-    // A job was answered. Late answers show that waits are underestimated: the fleet may have less
-    // room than its workers say, for example while some of them fail what they start.
-    void answered(bool isLate);
+
+    // Tasks began to wait.
+    void addWaiting(int priority, const Work &work);
+    // A task that waited was sent to a worker or given up.
+    void removeWaiting(int priority, const Work &work);
+    // A task was sent to a worker.
+    void recordStart(int priority, const Work &work, TimePoint now);
+    // A job was completed, `isLate`: after its objective. Late answers show that waits are
+    // underestimated: the fleet may have less capacity than its workers report, for example while
+    // some of them fail what they start.
+    void recordAnswer(bool isLate);
 
     // Queries
-    // Until the last task of a job with this priority and work would start if it arrived now.
-    Duration expectedWait(int priority, const Work &job, const FleetRoom &room,
+
+    // Time until the last task of a job with this priority and work would start if the job arrived
+    // now.
+    Duration expectedWait(int priority, const Work &job, const AvailableCores &available,
                           TimePoint now) const;
-    Work waitingWork(int priority) const; // of this and more urgent priorities
+    // Waiting work of this and more urgent priorities.
+    Work waitingWork(int priority) const;
 
 private:
-    struct Level
+    // Load of one priority.
+    struct PriorityLoad
     {
         Work waiting;
-        double rate = 0; // cores, exponentially weighted
-        TimePoint ratedAt{};
+        double startRate = 0;      // work started per time, in cores; exponentially weighted
+        TimePoint rateUpdatedAt{}; // time up to which the rate is decayed
     };
 
-    double rateOf(const Level &level, TimePoint now) const;
+    // The rate, decayed until `now`, in cores.
+    double startRateOf(const PriorityLoad &level, TimePoint now) const;
 
-    double m_lateShare = 0;        // of the newest answers
-    std::map<int, Level> m_levels; // by priority, the most urgent first
+    double m_lateFraction = 0;                // share of late answers, exponentially weighted
+    std::map<int, PriorityLoad> m_priorities; // by priority, the most urgent first
 };
 
 } // namespace cactuscove
--- a/src/resources.h
+++ b/src/resources.h
@@ -1,4 +1,5 @@
-// Room on a worker and the need of a task as a vector of processor, memory and accelerators.
+// Processor cores, memory and accelerators as a vector: the capacity of a worker, what is free of
+// it, or the needs of a task.
 
 #pragma once
 
@@ -8,9 +9,10 @@
 
 namespace cactuscove {
 
+// Differences may be negative: more was assigned than there is.
 struct Resources
 {
-    std::int64_t cpuMillis = 0; // thousandths of a core
+    std::int64_t cpuMillis = 0; // in thousandths of a core
     std::int64_t memoryMb = 0;
     std::int64_t accelerators = 0;
 
@@ -35,19 +37,20 @@
     friend Resources operator+(Resources a, const Resources &b) { return a += b; }
     friend Resources operator-(Resources a, const Resources &b) { return a -= b; }
 
-    bool fitsIn(const Resources &room) const
+    // True if `available` covers these needs in every dimension.
+    bool fitsIn(const Resources &available) const
     {
-        return cpuMillis <= room.cpuMillis && memoryMb <= room.memoryMb
-               && accelerators <= room.accelerators;
+        return cpuMillis <= available.cpuMillis && memoryMb <= available.memoryMb
+               && accelerators <= available.accelerators;
     }
 
-    // How many tasks with the need `need` fit; 0 if the room is overdrawn.
-    std::int64_t countOf(const Resources &need) const
+    // How many tasks with these needs fit; 0 if a dimension that a task needs is negative here.
+    std::int64_t countThatFits(const Resources &need) const
     {
         std::int64_t n = std::numeric_limits<std::int64_t>::max();
-        const auto limit = [&n](std::int64_t room, std::int64_t each) {
+        const auto limit = [&n](std::int64_t available, std::int64_t each) {
             if (each > 0)
-                n = std::min(n, std::max<std::int64_t>(room, 0) / each);
+                n = std::min(n, std::max<std::int64_t>(available, 0) / each);
         };
         limit(cpuMillis, need.cpuMillis);
         limit(memoryMb, need.memoryMb);
--- a/src/runtimemodel.cpp
+++ b/src/runtimemodel.cpp
@@ -11,14 +11,16 @@
 
 namespace {
 
-constexpr double NewestWeight = 0.02;
-constexpr double MaxOverMean = 3;
-constexpr double DefaultMs = 200; // the middle of what sub-second tasks take
-
-// The first ends weigh more, so that a mean is there soon.
-void blend(double &mean, double value, int samples)
+// Weight of the newest task in a mean.
+constexpr double MinSampleWeight = 0.02;
+// Longer run times count as this multiple of the mean.
+constexpr double MaxRatioToMean = 3;
+constexpr double DefaultRunTimeMs = 200; // in the middle of the usual run times of sub-second tasks
+
+// The first values weigh more, so that the mean is soon usable.
+void updateMean(double &mean, double value, int samples)
 {
-    mean += std::max(NewestWeight, 1.0 / samples) * (value - mean);
+    mean += std::max(MinSampleWeight, 1.0 / samples) * (value - mean);
 }
 
 } // namespace
@@ -28,20 +30,22 @@
     auto it = m_queues.find(queue);
     if (it == m_queues.end())
         it = m_queues.emplace(std::string(queue), Queue()).first;
-    // A stuck or slow worker must not make all tasks look long.
-    const double limit = it->second.meanMs == 0 ? toMs(runTime) : MaxOverMean * it->second.meanMs;
-    blend(it->second.meanMs, std::min(toMs(runTime), limit), ++it->second.samples);
+    // A stuck or slow worker must not make all tasks of the queue look long.
+    const double limit
+        = it->second.meanMs == 0 ? toMs(runTime) : MaxRatioToMean * it->second.meanMs;
+    updateMean(it->second.meanMs, std::min(toMs(runTime), limit), ++it->second.samples);
     if (declared > Duration{})
-        blend(it->second.declaredMeanMs, toMs(declared), ++it->second.declaredSamples);
+        updateMean(it->second.declaredMeanMs, toMs(declared), ++it->second.declaredSamples);
 }
 
-// The queue's mean, scaled by the square root of how the declaration differs from the usual one: a
-// declaration that is off by as much as the run times vary explains half of the variation.
+// The queue's mean, scaled by the square root of the ratio of the declaration to the mean
+// declaration. Reason: if declarations are off by as much as run times vary, they explain half of
+// the variation.
 Duration RunTimeModel::expect(std::string_view queue, Duration declared) const
 {
     const auto it = m_queues.find(queue);
     if (it == m_queues.end() || it->second.meanMs == 0)
-        return declared > Duration{} ? declared : fromMs(DefaultMs);
+        return declared > Duration{} ? declared : fromMs(DefaultRunTimeMs);
     const Queue &known = it->second;
     if (declared <= Duration{} || known.declaredMeanMs == 0)
         return fromMs(known.meanMs);
--- a/src/workerdirectory.cpp
+++ b/src/workerdirectory.cpp
@@ -1,4 +1,5 @@
-// Room by the newest report less what was sent since; random choice weighted by room and speed.
+// Free capacity is that of the newest report less what was assigned since. The choice among workers
+// is random, weighted by free capacity and speed.
 
 #include "workerdirectory.h"
 
@@ -12,18 +13,21 @@
 
 using namespace std::chrono_literals;
 
-// Agents send at least a beat each 100 ms. A task sent to a silent agent may be stuck there.
-constexpr Duration AgentSilence = 350ms;
-// A worker whose failures exceed the fleet's mean by this much gets no tasks.
-constexpr double FailureExcess = 0.2;
-// Weight of a worker falls with this power of its slowness.
-constexpr double SpeedPower = 2;
-constexpr double SmallestSlowness = 0.1;
-constexpr double SoundSlowness = 2.5;
-// A task is bound to a busy worker only if it is expected to start there within this time; the
-// worker's agent then starts the most urgent first. It hides the way of the news that room is free.
-constexpr double LongestQueueMs = 8;
-constexpr double PreferredWeight = 4; // of a worker with the preferred label
+// Agents send at least a heartbeat each 100 ms. A task sent to an agent that has been silent for
+// longer than this may get no further.
+constexpr Duration AgentTimeout = 350ms;
+// A worker whose failure rate exceeds the fleet's mean by more than this gets no tasks.
+constexpr double MaxFailureRateExcess = 0.2;
+// The weight of a worker in the random choice falls with this power of its slowness.
+constexpr double SlownessExponent = 2;
+constexpr double MinSlowness = 0.1;
+// The capacity of slower workers is not counted as usable.
+constexpr double MaxUsableSlowness = 2.5;
+// A task is sent to a busy worker only if it is expected to start there within this time; the
+// worker's agent then starts the most urgent task first. This hides the delay of the report that
+// capacity has become free.
+constexpr double MaxQueueWaitMs = 8;
+constexpr double PreferredLabelWeight = 4; // factor for a worker with the preferred label
 
 bool hasLabel(const WorkerInfo &worker, std::string_view label)
 {
@@ -46,8 +50,8 @@
     it.heardAt = now;
 }
 
-// An agent tells of its workers anew on each connection. One that never comes back must not count
-// in the fleet's means.
+// An agent reports its workers again on each connection. Those of an agent that never comes back
+// must not count in the fleet's means.
 void WorkerDirectory::agentDisconnected(Incarnation agent)
 {
     m_agents.erase(agent);
@@ -61,7 +65,7 @@
         it->second.heardAt = now;
 }
 
-void WorkerDirectory::agentClock(Incarnation agent, TimePoint sentAt, TimePoint now)
+void WorkerDirectory::updateAgentClock(Incarnation agent, TimePoint sentAt, TimePoint now)
 {
     const auto it = m_agents.find(agent);
     if (it == m_agents.end() || sentAt < it->second.clock)
@@ -70,7 +74,7 @@
     it->second.clockAt = now;
 }
 
-void WorkerDirectory::update(Incarnation agent, const WorkerUpdate &update)
+void WorkerDirectory::updateWorker(Incarnation agent, const WorkerUpdate &update)
 {
     const WorkerKey key{agent, update.worker.id};
     if (update.isGone)
@@ -79,7 +83,7 @@
         m_workers[key].info = update.worker;
 }
 
-void WorkerDirectory::load(Incarnation agent, const WorkerLoad &load)
+void WorkerDirectory::updateLoad(Incarnation agent, const WorkerLoad &load)
 {
     const auto it = m_workers.find({agent, load.workerId});
     if (it == m_workers.end())
@@ -87,17 +91,18 @@
     Worker &worker = it->second;
     worker.load = load;
     worker.hasLoad = true;
-    worker.sent.erase(worker.sent.begin(), worker.sent.upper_bound(load.assignments));
+    worker.unreported.erase(worker.unreported.begin(),
+                            worker.unreported.upper_bound(load.assignments));
 }
 
-std::uint64_t WorkerDirectory::book(const WorkerKey &key, int priority, const Resources &needs)
+std::uint64_t WorkerDirectory::reserve(const WorkerKey &key, int priority, const Resources &needs)
 {
-    const std::uint64_t number = ++m_agents[key.agent].assignments;
-    m_workers[key].sent[number] = {priority, needs};
+    const std::uint64_t number = ++m_agents[key.agent].lastAssignment;
+    m_workers[key].unreported[number] = {priority, needs};
     return number;
 }
 
-void WorkerDirectory::pause(const WorkerKey &key, TimePoint until)
+void WorkerDirectory::pauseWorker(const WorkerKey &key, TimePoint until)
 {
     const auto it = m_workers.find(key);
     if (it != m_workers.end())
@@ -107,18 +112,18 @@
 bool WorkerDirectory::isUsable(const WorkerKey &key, const Worker &worker, TimePoint now) const
 {
     const auto agent = m_agents.find(key.agent);
-    return agent != m_agents.end() && now - agent->second.heardAt < AgentSilence
+    return agent != m_agents.end() && now - agent->second.heardAt < AgentTimeout
            && agent->second.clock != TimePoint{} && worker.hasLoad && worker.load.isUsable
            && !worker.info.isDraining && now >= worker.pausedUntil;
 }
 
-Resources WorkerDirectory::freeOf(const Worker &worker, int priority)
+Resources WorkerDirectory::freeResources(const Worker &worker, int priority)
 {
     Resources free = worker.load.free;
     for (const QueuedDemand &it : worker.load.queued)
         if (it.priority <= priority)
             free -= it.needs;
-    for (const auto &[number, it] : worker.sent)
+    for (const auto &[number, it] : worker.unreported)
         if (it.priority <= priority)
             free -= it.needs;
     return free;
@@ -126,10 +131,10 @@
 
 double WorkerDirectory::expectedWaitMs(const Worker &worker, const Request &request)
 {
-    const Resources free = freeOf(worker, request.priority);
+    const Resources free = freeResources(worker, request.priority);
     if (request.needs.fitsIn(free))
         return 0;
-    // Only the processor is given back at a rate that is known.
+    // Only cores have a known release rate.
     const bool fitsOtherwise = request.needs.memoryMb <= free.memoryMb
                                && request.needs.accelerators <= free.accelerators;
     if (!fitsOtherwise || worker.load.coreReleaseRate <= 0)
@@ -138,34 +143,36 @@
     return missing / 1000 / worker.load.coreReleaseRate;
 }
 
-WorkerDirectory::Limits WorkerDirectory::limitsOf(std::string_view upstream, double slowness) const
+WorkerDirectory::Limits WorkerDirectory::limitsOf(std::string_view upstream,
+                                                  double maxSlowness) const
 {
-    double failures = 0;
-    std::size_t known = 0; // of the upstream
+    double failureRateSum = 0;
+    std::size_t known = 0; // workers of the upstream
     std::size_t slow = 0;
     for (const auto &[key, worker] : m_workers) {
-        failures += worker.load.failureRate;
+        failureRateSum += worker.load.failureRate;
         if (worker.info.upstream != upstream || !worker.hasLoad)
             continue;
         ++known;
-        slow += worker.load.slowness > slowness;
+        slow += worker.load.slowness > maxSlowness;
     }
-    const double mean = m_workers.empty() ? 0 : failures / static_cast<double>(m_workers.size());
-    return {mean + FailureExcess,
-            slow * 2 >= known ? std::numeric_limits<double>::infinity() : slowness};
+    const double mean
+        = m_workers.empty() ? 0 : failureRateSum / static_cast<double>(m_workers.size());
+    return {mean + MaxFailureRateExcess,
+            slow * 2 >= known ? std::numeric_limits<double>::infinity() : maxSlowness};
 }
 
-std::optional<WorkerKey> WorkerDirectory::choose(const Request &request, TimePoint now)
+std::optional<WorkerKey> WorkerDirectory::chooseWorker(const Request &request, TimePoint now)
 {
     struct Candidate
     {
         const WorkerKey *key;
-        double weight; // 0 without room
+        double weight; // 0 without free capacity
         double waitMs;
     };
-    std::vector<Candidate> good;
+    std::vector<Candidate> notAvoided;
     std::vector<Candidate> avoided;
-    bool hasAlternative = false; // to the avoided workers, be it busy now
+    bool hasAlternative = false; // some worker is not avoided, even if it is busy now
     const double unlimited = std::numeric_limits<double>::infinity();
     const Limits limits
         = limitsOf(request.upstream, request.maxSlowness > 0 ? request.maxSlowness : unlimited);
@@ -174,25 +181,26 @@
             continue;
         if (!request.requiredLabel.empty() && !hasLabel(worker.info, request.requiredLabel))
             continue;
-        if (worker.load.failureRate > limits.failureRate)
+        if (worker.load.failureRate > limits.maxFailureRate)
             continue;
-        const double slowness = std::max(worker.load.slowness, SmallestSlowness);
-        if (slowness > limits.slowness)
+        const double slowness = std::max(worker.load.slowness, MinSlowness);
+        if (slowness > limits.maxSlowness)
             continue;
         const bool isAvoided
-            = std::find(request.avoid.begin(), request.avoid.end(), key) != request.avoid.end();
+            = std::find(request.avoidedWorkers.begin(), request.avoidedWorkers.end(), key)
+              != request.avoidedWorkers.end();
         hasAlternative |= !isAvoided;
         const double waitMs = expectedWaitMs(worker, request);
-        if (waitMs > LongestQueueMs)
+        if (waitMs > MaxQueueWaitMs)
             continue;
-        const auto room
-            = static_cast<double>(freeOf(worker, request.priority).countOf(request.needs));
-        double weight = room / std::pow(slowness, SpeedPower);
+        const auto taskCount = static_cast<double>(
+            freeResources(worker, request.priority).countThatFits(request.needs));
+        double weight = taskCount / std::pow(slowness, SlownessExponent);
         if (!request.preferredLabel.empty() && hasLabel(worker.info, request.preferredLabel))
-            weight *= PreferredWeight;
-        (isAvoided ? avoided : good).push_back({&key, weight, waitMs});
+            weight *= PreferredLabelWeight;
+        (isAvoided ? avoided : notAvoided).push_back({&key, weight, waitMs});
     }
-    const std::vector<Candidate> &candidates = hasAlternative ? good : avoided;
+    const std::vector<Candidate> &candidates = hasAlternative ? notAvoided : avoided;
     if (candidates.empty())
         return std::nullopt;
     double total = 0;
@@ -216,40 +224,41 @@
     return *last->key;
 }
 
-bool WorkerDirectory::couldEverFit(const Request &request) const
+bool WorkerDirectory::fitsSomeWorker(const Request &request) const
 {
-    bool isKnown = false;
+    bool isAnyKnown = false;
     for (const auto &[key, worker] : m_workers) {
         if (worker.info.upstream != request.upstream)
             continue;
         if (request.needs.fitsIn(worker.info.capacity)
             && (request.requiredLabel.empty() || hasLabel(worker.info, request.requiredLabel)))
             return true;
-        isKnown = true;
+        isAnyKnown = true;
     }
-    return !isKnown;
+    return !isAnyKnown;
 }
 
-// The room of a worker that fails its tasks or is slow is no room to count on.
-WorkerDirectory::Room WorkerDirectory::roomOf(std::string_view upstream, TimePoint now) const
+// Capacity of a worker that fails its tasks or is slow cannot be relied on.
+WorkerDirectory::UsableCapacity WorkerDirectory::usableCapacity(std::string_view upstream,
+                                                                TimePoint now) const
 {
-    const Limits limits = limitsOf(upstream, SoundSlowness);
-    Room room;
+    const Limits limits = limitsOf(upstream, MaxUsableSlowness);
+    UsableCapacity usable;
     std::int64_t freeMillis = 0;
     for (const auto &[key, worker] : m_workers) {
         if (worker.info.upstream != upstream || !isUsable(key, worker, now)
-            || worker.load.failureRate > limits.failureRate
-            || worker.load.slowness > limits.slowness)
+            || worker.load.failureRate > limits.maxFailureRate
+            || worker.load.slowness > limits.maxSlowness)
             continue;
-        room.capacity += worker.info.capacity;
-        const Resources free = freeOf(worker, std::numeric_limits<int>::max());
+        usable.total += worker.info.capacity;
+        const Resources free = freeResources(worker, std::numeric_limits<int>::max());
         freeMillis += std::max<std::int64_t>(free.cpuMillis, 0);
     }
-    room.freeCores = static_cast<double>(freeMillis) / 1000;
-    return room;
+    usable.freeCores = static_cast<double>(freeMillis) / 1000;
+    return usable;
 }
 
-std::optional<TimePoint> WorkerDirectory::agentTime(Incarnation agent, TimePoint at) const
+std::optional<TimePoint> WorkerDirectory::agentClockAt(Incarnation agent, TimePoint at) const
 {
     const auto it = m_agents.find(agent);
     if (it == m_agents.end() || it->second.clock == TimePoint{})
--- a/src/workerdirectory.h
+++ b/src/workerdirectory.h
@@ -1,5 +1,8 @@
-// An entry's view of the agents and their workers: which are connected, what room they reported
-// last and what was sent to them since. Chooses the worker for a task.
+// An entry's view of the agents and their workers: which agents are connected, what capacity they
+// reported last for their workers, and what was assigned to the workers since. Chooses the worker
+// for a task.
+//
+// Reads no clock: inputs carry the time.
 
 #pragma once
 
@@ -15,57 +18,77 @@
 
 namespace cactuscove {
 
+// A worker, as seen through one process of its agent.
 struct WorkerKey
 {
     Incarnation agent;
-    std::string worker;
+    std::string workerId;
     auto operator<=>(const WorkerKey &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
+// Used by JobDispatcher, one object per entry process.
 class WorkerDirectory
 {
 public:
+    // `seed` is for the random choice among workers.
     explicit WorkerDirectory(std::uint64_t seed);
 
     // Commands
+
+    // A new connection: what was known of the agent and its workers is dropped, and the agent
+    // reports it again.
     void agentConnected(Incarnation agent, std::string_view name, std::string_view dataCentre,
                         TimePoint now);
+    // Drops the agent and its workers.
     void agentDisconnected(Incarnation agent);
+    // A message of the agent has come, whatever its type.
     void agentHeard(Incarnation agent, TimePoint now);
-    // The agent's clock read `sentAt` at some time before `now`.
-    void agentClock(Incarnation agent, TimePoint sentAt, TimePoint now);
-    void update(Incarnation agent, const WorkerUpdate &update);
-    void load(Incarnation agent, const WorkerLoad &load);
-    // Books room at a worker until a report contains it; returns the assignment's number.
-    std::uint64_t book(const WorkerKey &key, int priority, const Resources &needs);
-    // No tasks for this worker before `until`: it refused one.
-    void pause(const WorkerKey &key, TimePoint until);
+    // A heartbeat: the agent's clock showed `sentAt` at some time before `now`. No tasks are sent
+    // to an agent before its first heartbeat.
+    void updateAgentClock(Incarnation agent, TimePoint sentAt, TimePoint now);
+    // A worker beside the agent is new, has changed or is gone.
+    void updateWorker(Incarnation agent, const WorkerUpdate &update);
+    // The newest load of a worker. Ignored for an unknown worker.
+    void updateLoad(Incarnation agent, const WorkerLoad &load);
+    // Counts `needs` as used at the worker until a load report includes them. Returns the number of
+    // the assignment on this connection, from 1.
+    std::uint64_t reserve(const WorkerKey &key, int priority, const Resources &needs);
+    // Sends the worker no task before `until`; to be called when it has refused one.
+    void pauseWorker(const WorkerKey &key, TimePoint until);
 
     // Queries
+
+    // What a task asks of a worker. Empty labels ask for nothing.
     struct Request
     {
         std::string_view upstream;
         Resources needs;
-        int priority = 0;
-        std::span<const WorkerKey> avoid; // where the task failed before
+        int priority = 0;                          // 0 comes first
+        std::span<const WorkerKey> avoidedWorkers; // workers on which the task failed before
         std::string_view requiredLabel;
         std::string_view preferredLabel;
-        double maxSlowness = 0; // a slower worker would miss the objective; 0: any
+        // Slowness as in WorkerLoad. Slower workers are left out, as the task would miss its
+        // objective there; 0: any worker is fast enough.
+        double maxSlowness = 0;
     };
-    // A worker with room for the task, else one that is expected to have it within moments, or
-    // none.
-    std::optional<WorkerKey> choose(const Request &request, TimePoint now);
-    // The task fits on some worker, busy or not. True as long as no worker is known.
-    bool couldEverFit(const Request &request) const;
-    // Of all usable workers that neither fail their tasks nor are slow.
-    struct Room
+    // A worker with free capacity for the task, else one that is expected to have it within 8 ms,
+    // else none. Among workers with capacity the choice is random, weighted by free capacity and
+    // speed.
+    std::optional<WorkerKey> chooseWorker(const Request &request, TimePoint now);
+    // The task fits on some worker of the upstream, busy or not. True while no worker of the
+    // upstream is known.
+    bool fitsSomeWorker(const Request &request) const;
+    // Capacity of all usable workers of an upstream, without those that are slow or fail their
+    // tasks.
+    struct UsableCapacity
     {
-        Resources capacity;
+        Resources total;
         double freeCores = 0;
     };
-    Room roomOf(std::string_view upstream, TimePoint now) const;
-    // Reads the agent's clock not later than it shows at `at`; none without contact.
-    std::optional<TimePoint> agentTime(Incarnation agent, TimePoint at) const;
+    UsableCapacity usableCapacity(std::string_view upstream, TimePoint now) const;
+    // What the agent's clock shows at time `at`, or a little less; none before the agent's first
+    // heartbeat. A little less because the heartbeat was under way for some time.
+    std::optional<TimePoint> agentClockAt(Incarnation agent, TimePoint at) const;
     std::size_t connectedAgents() const { return m_agents.size(); }
 
 private:
@@ -73,10 +96,10 @@
     {
         std::string name;
         std::string dataCentre;
-        TimePoint heardAt{};
-        TimePoint clock{}; // the agent's
-        TimePoint clockAt{};
-        std::uint64_t assignments = 0; // numbers given on this connection
+        TimePoint heardAt{};              // newest message
+        TimePoint clock{};                // the agent's clock in its newest heartbeat
+        TimePoint clockAt{};              // when that heartbeat was received
+        std::uint64_t lastAssignment = 0; // newest number on this connection
     };
 
     struct Worker
@@ -84,28 +107,32 @@
         WorkerInfo info;
         WorkerLoad load;
         bool hasLoad = false;
-        std::map<std::uint64_t, QueuedDemand> sent; // by number; not yet in `load`
-        TimePoint pausedUntil{};
+        // Assignments that `load` does not include yet, by number.
+        std::map<std::uint64_t, QueuedDemand> unreported;
+        TimePoint pausedUntil{}; // chosen for no task before this time
     };
 
+    // The worker takes tasks and its agent is in contact with this entry.
     bool isUsable(const WorkerKey &key, const Worker &worker, TimePoint now) const;
-    // What is left for a task of this priority; may be negative.
-    static Resources freeOf(const Worker &worker, int priority);
-    // Until the task would start.
+    // Free capacity for a task of this priority, less the needs of waiting tasks that are at least
+    // as urgent; may be negative.
+    static Resources freeResources(const Worker &worker, int priority);
+    // Time until the task would start there; infinite if it is not known when the
+    // missing resources will be released.
     static double expectedWaitMs(const Worker &worker, const Request &request);
-    // Worse workers are left out.
+    // Workers with a higher failure rate or slowness are left out.
     struct Limits
     {
-        double failureRate = 0;
-        double slowness = 0;
+        double maxFailureRate = 0;
+        double maxSlowness = 0;
     };
-    // Where half of the workers are slower than `slowness`, the expected run times are wrong and
-    // the workers are not to blame: then no worker counts as slow.
-    Limits limitsOf(std::string_view upstream, double slowness) const;
+    // If at least half of the workers are slower than `maxSlowness`, the expected run times are
+    // wrong rather than the workers slow; then no worker counts as slow.
+    Limits limitsOf(std::string_view upstream, double maxSlowness) const;
 
     std::mt19937_64 m_random;
-    std::map<Incarnation, Agent> m_agents; // connected
-    std::map<WorkerKey, Worker> m_workers; // of connected agents
+    std::map<Incarnation, Agent> m_agents; // connected agents
+    std::map<WorkerKey, Worker> m_workers; // workers of connected agents
 };
 
 } // namespace cactuscove
--- a/tests/workerdirectory_test.cpp
+++ b/tests/workerdirectory_test.cpp
@@ -1,4 +1,4 @@
-// An entry's view of the workers: the room to count on, and the choice of a worker.
+// An entry's view of the workers: their usable capacity, and the choice of a worker.
 
 #include "workerdirectory.h"
 
@@ -17,13 +17,13 @@
     WorkerDirectoryTest()
     {
         m_directory.agentConnected(Agent, "agent", "dc", Now);
-        m_directory.agentClock(Agent, Now, Now);
+        m_directory.updateAgentClock(Agent, Now, Now);
         for (const char *id : {"a", "b", "c"}) {
             WorkerInfo info;
             info.id = id;
             info.upstream = "u";
             info.capacity = {10000, 1000, 0};
-            m_directory.update(Agent, {info, false});
+            m_directory.updateWorker(Agent, {info, false});
             report(id, 0, 1);
         }
     }
@@ -36,7 +36,7 @@
         load.isUsable = true;
         load.failureRate = failureRate;
         load.slowness = slowness;
-        m_directory.load(Agent, load);
+        m_directory.updateLoad(Agent, load);
     }
 
     WorkerDirectory m_directory{1};
@@ -44,82 +44,85 @@
 
 } // namespace
 
+// Guards against counting capacity as free that was assigned since the last report.
 TEST_F(WorkerDirectoryTest, RoomIsWhatWasReportedLessWhatWasSent)
 {
-    EXPECT_EQ(m_directory.roomOf("u", Now).freeCores, 30);
-    m_directory.book({Agent, "a"}, 0, {4000, 10, 0});
-    EXPECT_EQ(m_directory.roomOf("u", Now).freeCores, 26);
+    EXPECT_EQ(m_directory.usableCapacity("u", Now).freeCores, 30);
+    m_directory.reserve({Agent, "a"}, 0, {4000, 10, 0});
+    EXPECT_EQ(m_directory.usableCapacity("u", Now).freeCores, 26);
 }
 
-// Guards against refusing everything where the expected run times are wrong.
+// Guards against refusing all jobs where the expected run times are wrong: if half of the workers
+// look slow, none counts as slow.
 TEST_F(WorkerDirectoryTest, NoWorkerIsSlowWhereHalfOfThemAre)
 {
     report("a", 0, 9);
     report("b", 0, 5);
-    EXPECT_EQ(m_directory.roomOf("u", Now).capacity.cpuMillis, 30000);
-    EXPECT_EQ(m_directory.roomOf("u", Now).freeCores, 30);
+    EXPECT_EQ(m_directory.usableCapacity("u", Now).total.cpuMillis, 30000);
+    EXPECT_EQ(m_directory.usableCapacity("u", Now).freeCores, 30);
     WorkerDirectory::Request request{"u", {1000, 10, 0}, 0, {}, {}, {}};
     request.maxSlowness = 1.6;
     report("c", 0, 2);
-    EXPECT_TRUE(m_directory.choose(request, Now));
+    EXPECT_TRUE(m_directory.chooseWorker(request, Now));
 }
 
-// A worker that fails what it starts is always empty. Guards against taking jobs on the strength of
-// room that no task is sent to.
+// Guards against accepting jobs because of free capacity that no task is sent to: a worker that
+// fails what it starts is always idle.
 TEST_F(WorkerDirectoryTest, RoomOfFailingAndSlowWorkersIsNotCounted)
 {
     report("a", 0.9, 1);
-    EXPECT_EQ(m_directory.roomOf("u", Now).freeCores, 20);
-    EXPECT_EQ(m_directory.roomOf("u", Now).capacity.cpuMillis, 20000);
+    EXPECT_EQ(m_directory.usableCapacity("u", Now).freeCores, 20);
+    EXPECT_EQ(m_directory.usableCapacity("u", Now).total.cpuMillis, 20000);
     report("b", 0, 8);
-    EXPECT_EQ(m_directory.roomOf("u", Now).freeCores, 10);
+    EXPECT_EQ(m_directory.usableCapacity("u", Now).freeCores, 10);
     for (int i = 0; i < 20; ++i) {
         WorkerDirectory::Request request;
         request.upstream = "u";
         request.needs = {100, 1, 0};
         request.maxSlowness = 2;
-        const auto chosen = m_directory.choose(request, Now);
+        const auto chosen = m_directory.chooseWorker(request, Now);
         ASSERT_TRUE(chosen);
-        EXPECT_EQ(chosen->worker, "c");
+        EXPECT_EQ(chosen->workerId, "c");
     }
 }
 
-// Guards against judging the workers that are left by those of agents that are gone for good.
+// Guards against comparing the remaining workers with the workers of agents that are gone for good.
 TEST_F(WorkerDirectoryTest, WorkersOfAGoneAgentDoNotCount)
 {
     constexpr Incarnation Other{8};
     m_directory.agentConnected(Other, "other", "dc", Now);
-    m_directory.agentClock(Other, Now, Now);
+    m_directory.updateAgentClock(Other, Now, Now);
     WorkerInfo info;
     info.id = "d";
     info.upstream = "u";
     info.capacity = {10000, 1000, 0};
-    m_directory.update(Other, {info, false});
+    m_directory.updateWorker(Other, {info, false});
     WorkerLoad load;
     load.workerId = "d";
     load.free = {10000, 1000, 0};
     load.isUsable = true;
-    load.failureRate = 0.3; // above the limit as long as the three others count
-    m_directory.load(Other, load);
-    EXPECT_EQ(m_directory.roomOf("u", Now).freeCores, 30);
+    load.failureRate = 0.3; // above the limit while the three other workers count
+    m_directory.updateLoad(Other, load);
+    EXPECT_EQ(m_directory.usableCapacity("u", Now).freeCores, 30);
     m_directory.agentDisconnected(Agent);
     EXPECT_EQ(m_directory.connectedAgents(), 1U);
-    EXPECT_EQ(m_directory.roomOf("u", Now).freeCores, 10);
+    EXPECT_EQ(m_directory.usableCapacity("u", Now).freeCores, 10);
     WorkerDirectory::Request request{"u", {11000, 10, 0}, 0, {}, {}, {}};
-    EXPECT_FALSE(m_directory.couldEverFit(request));
+    EXPECT_FALSE(m_directory.fitsSomeWorker(request));
 }
 
-// A task that failed on a worker goes elsewhere, also if all others are busy now.
+// Guards against sending a task again to a worker on which it failed because the other workers are
+// busy now.
 TEST_F(WorkerDirectoryTest, AvoidedWorkersAreUsedOnlyWithoutAlternative)
 {
     const std::vector<WorkerKey> avoid{{Agent, "a"}, {Agent, "b"}};
     WorkerDirectory::Request request;
     request.upstream = "u";
     request.needs = {8000, 1, 0};
-    request.avoid = avoid;
-    EXPECT_EQ(m_directory.choose(request, Now)->worker, "c");
-    m_directory.book({Agent, "c"}, 0, {8000, 1, 0});
-    EXPECT_FALSE(m_directory.choose(request, Now));
+    request.avoidedWorkers = avoid;
+    EXPECT_EQ(m_directory.chooseWorker(request, Now)->workerId, "c");
+    m_directory.reserve({Agent, "c"}, 0, {8000, 1, 0});
+    EXPECT_FALSE(m_directory.chooseWorker(request, Now));
 }
 
 } // namespace cactuscove
