--- a/tests/dispatchfleet.cpp
+++ b/tests/dispatchfleet.cpp
@@ -41,7 +41,7 @@
         std::uint32_t attempt = 0;
         Resources needs;
         double workMs = 0; // run time on a worker of speed 1
-        double doneMs = 0;
+        double doneMs = 0; // the part of workMs that is done
         bool isStopping = false;
         std::uint64_t number = 0; // a scheduled end with another number no longer applies
     };
@@ -54,16 +54,16 @@
         double speed = 1;
         bool isFailing = false;
         Resources capacity;
-        TimePoint bornAt = Start;
+        TimePoint startedAt = Start;
         TimePoint leaseEnd = Start;
-        TimePoint progressAt = Start;
+        TimePoint progressAt = Start; // up to this time doneMs of the runs is computed
         std::uint64_t sequence = 0;
-        std::uint64_t endNumber = 0;
+        std::uint64_t endNumber = 0; // of the newest end
         std::map<TaskId, Run> runs;
         // Highest attempt of each task that was stopped or has ended.
         std::map<TaskId, std::uint32_t> lastAttempts;
         std::vector<EndedRun> ended;
-        std::vector<std::function<void()>> waitingPolls;
+        std::vector<std::function<void()>> waitingPolls; // replies that wait for an end
         std::string id() const
         {
             return "w" + std::to_string(index) + "-" + std::to_string(incarnation);
@@ -93,11 +93,12 @@
         std::unique_ptr<JobDispatcher> dispatcher;
     };
 
+    // The connection between one entry and one agent.
     struct Link
     {
         bool isUp = false;
         bool isCut = false;
-        std::uint64_t generation = 0;
+        std::uint64_t generation = 0;       // increases with each new or ended connection
         TimePoint leavingSince = NeverTime; // since when the agent does not need the entry
         TimePoint agentHeardAt = Start;     // newest message from the entry
         TimePoint entryHeardAt = Start;     // newest message from the agent
@@ -107,14 +108,14 @@
     {
         const JobKind *kind = nullptr;
         BestEffortJob spec;
-        std::vector<double> workMs;
+        std::vector<double> workMs; // of each task, on a worker of speed 1
         TimePoint firstSentAt;
         TimePoint objectiveAt;
         Duration callerTimeout{};
         double value = 0;
         bool isAnswered = false;
-        bool wasOnlyRefused = true;
-        bool hasRun = false;
+        bool wasOnlyRefused = true; // no submission was given up, lost or answered as Unknown
+        bool hasRun = false;        // a worker started one of its tasks
         JobOutcome outcome = JobOutcome::Unknown;
         TimePoint answeredAt;
         std::uint64_t caller = 0; // number of the newest submission; 0: none is open
@@ -519,7 +520,7 @@
         info.upstream = "upstream";
         info.address = "worker";
         info.capacity = it.capacity;
-        info.startedAtUnixMs = static_cast<std::int64_t>(toMs(it.bornAt.time_since_epoch()));
+        info.startedAtUnixMs = static_cast<std::int64_t>(toMs(it.startedAt.time_since_epoch()));
         info.sequence = ++it.sequence;
         stepAgent(i, [this, info](TaskRunner &runner, RunnerOutbox &out) {
             runner.onWorkerInfo(info, now, out);
@@ -528,7 +529,7 @@
 
     WorkerClock clockOf(const Worker &it) const
     {
-        return WorkerClock{static_cast<std::int64_t>(toMs(now - it.bornAt))};
+        return WorkerClock{static_cast<std::int64_t>(toMs(now - it.startedAt))};
     }
 
     // Executes `order` at the worker and sends its reply to the agent, or loses the reply.
@@ -773,7 +774,8 @@
     void extendLease(Worker &it, WorkerClock until)
     {
         const std::int64_t longest = clockOf(it).value + 1000;
-        const TimePoint end = it.bornAt + std::chrono::milliseconds(std::min(until.value, longest));
+        const TimePoint end
+            = it.startedAt + std::chrono::milliseconds(std::min(until.value, longest));
         if (end <= it.leaseEnd)
             return;
         it.leaseEnd = end;
@@ -866,8 +868,8 @@
     void sendJob(std::size_t number)
     {
         std::vector<std::size_t> up;
-        const double busy = options.usedEntryShare * static_cast<double>(entries.size());
-        for (std::size_t i = 0; i < entries.size() && static_cast<double>(i) < busy; ++i)
+        const double usedEntries = options.usedEntryShare * static_cast<double>(entries.size());
+        for (std::size_t i = 0; i < entries.size() && static_cast<double>(i) < usedEntries; ++i)
             if (entries[i].isUp)
                 up.push_back(i);
         Job &job = jobs[number];
@@ -1080,12 +1082,12 @@
     it.sequence = 0;
     const auto i = static_cast<std::size_t>(worker);
     m_impl->post(m_impl->now + down, [this, i, incarnation = it.incarnation] {
-        Impl::Worker &again = m_impl->workers[i];
-        if (again.incarnation != incarnation)
+        Impl::Worker &restarted = m_impl->workers[i];
+        if (restarted.incarnation != incarnation)
             return; // it crashed once more
-        again.isUp = true;
-        again.bornAt = again.progressAt = again.leaseEnd = m_impl->now;
-        m_impl->sendWorkerHeartbeat(i, again.incarnation);
+        restarted.isUp = true;
+        restarted.startedAt = restarted.progressAt = restarted.leaseEnd = m_impl->now;
+        m_impl->sendWorkerHeartbeat(i, restarted.incarnation);
     });
 }
 
--- a/tests/dispatchfleet.h
+++ b/tests/dispatchfleet.h
@@ -45,7 +45,7 @@
     double fastWorkerSpeed = 1;           // speed of every third worker; the others have 1
     std::vector<JobKind> kinds;           // all kinds of jobs
     Duration length = std::chrono::seconds(20); // jobs are submitted during this time
-    // Factor on the rate of a kind at a time since the first job; empty: always 1.
+    // Factor on the rate of a kind, by the time since the start of the load; empty: always 1.
     std::function<double(const JobKind &kind, Duration at)> rateFactor;
     // Share of the calls to workers that are executed 2 to 12 s late and never answered.
     double lostReplyRate = 0;
@@ -77,8 +77,8 @@
     explicit DispatchFleet(DispatchFleetOptions options);
     ~DispatchFleet();
 
-    // Faults. schedule() plans a function at a time after the first job; it is called before run(),
-    // the others at any time.
+    // Faults. schedule() plans a fault at a time after the start of the load and is called before
+    // run(). The others take effect at once and are called from planned faults.
     void schedule(Duration time, std::function<void()> fault);
     // Ends the process; a new one starts after `down`.
     void killAgent(int agent, Duration down);
--- a/tests/workerperformance_test.cpp
+++ b/tests/workerperformance_test.cpp
@@ -124,10 +124,10 @@
 TEST(WorkerPerformance, RunsThatHaveJustBegunDoNotShowASlowWorker)
 {
     WorkerPerformance performance;
-    std::vector<RunProgress> young = runs({"a", "b", "c", "d"}, 15ms, 1);
-    for (RunProgress &it : young)
+    std::vector<RunProgress> newRuns = runs({"a", "b", "c", "d"}, 15ms, 1);
+    for (RunProgress &it : newRuns)
         it.expected = 800ms;
-    performance.recordProgress(young, Start);
+    performance.recordProgress(newRuns, Start);
     EXPECT_FALSE(performance.isRunningSlow());
 }
 
