--- a/src/dispatchtypes.h
+++ b/src/dispatchtypes.h
@@ -113,8 +113,8 @@
     Resources capacity;
     std::vector<std::string> labels;
     bool isDraining = false;
-    // Unix time of the start of the worker process; tells processes with the same id apart. 0: not
-    // reported.
+    // Unix time of the start of the worker process; distinguishes processes with the same id. 0:
+    // not reported.
     std::int64_t startedAtUnixMs = 0;
     std::uint64_t sequence = 0; // increases with each heartbeat of a process
 
--- a/src/jobdispatcher.h
+++ b/src/jobdispatcher.h
@@ -6,8 +6,8 @@
 // That is known from an end or a refusal that the agent reports, from the inventory that the agent
 // sends on a new connection, from the inventory of the agent's next process once the worker runs
 // nothing that an earlier process started, or when so much time has passed that every bound in
-// taskrunner.h has expired (DispatcherSettings::lostAgentTimeout). A caller is told that a job was
-// not run only if no attempt of any task has started.
+// taskrunner.h has expired (DispatcherSettings::lostAgentTimeout). A job is answered as Refused
+// only if no attempt of any task has started.
 //
 // Does no I/O and reads no clock: inputs carry the current time, which must count suspension of the
 // machine. Inputs only change the state; processPending() acts on it.
@@ -31,7 +31,7 @@
 
 namespace cactuscove {
 
-// How a best-effort job ended, as its caller is told.
+// How a best-effort job ended, as reported to its caller.
 enum class JobOutcome {
     Completed, // every task has ended as done
     Failed,    // one task failed in as many attempts as its queue allows
@@ -73,8 +73,8 @@
 struct DispatcherSettings
 {
     std::uint64_t seed = 0; // for the random choice of workers
-    // A run that an agent was told to start has ended this long after the last message from the
-    // agent. Counted from the end of the connection.
+    // Every run of an agent's tasks has ended this long after the agent's last message. Counted
+    // from the end of the connection, which is later.
     Duration lostAgentTimeout = std::chrono::milliseconds(1800);
 };
 
@@ -100,8 +100,8 @@
     void callerDisconnected(CallerId caller, TimePoint now, DispatcherOutbox &out);
     // To be called after the hello of an agent, once for each connection.
     void onAgentConnected(const PeerHello &agent, TimePoint now, DispatcherOutbox &out);
-    // The agent's runs may go on: its tasks are not assigned again before a later inventory or the
-    // lostAgentTimeout.
+    // The agent's runs may continue, so its tasks are assigned again only after a later inventory
+    // or the lostAgentTimeout.
     void onAgentDisconnected(Incarnation agent, TimePoint now, DispatcherOutbox &out);
     // Any message of a connected agent but the hello.
     void onMessage(Incarnation agent, const PeerMessage &message, TimePoint now,
@@ -109,7 +109,7 @@
     // Ends jobs whose time has run out and assigns waiting tasks to workers. To be called after
     // inputs, once for several of them, and at nextTimer().
     void processPending(TimePoint now, DispatcherOutbox &out);
-    void beginShutdown(); // new jobs are refused, open jobs go on
+    void beginShutdown(); // refuses new jobs from now on; open jobs continue
 
     // Queries
 
--- a/src/jobdispatcheragents.cpp
+++ b/src/jobdispatcheragents.cpp
@@ -32,8 +32,8 @@
     expireAfterSuspension(now, out);
     m_agents[agent.instance] = agent;
     m_directory.agentConnected(agent.instance, agent.name, agent.dataCentre, now);
-    // While the agent hears from this entry it lets the tasks run, so no time limit for their ends
-    // holds. Its inventory tells which of them it knows.
+    // While messages from this entry reach the agent, the agent does not stop the tasks, so they
+    // may run beyond attemptEndsBy. The agent's inventory will show which of them it knows.
     for (auto &[number, job] : m_jobs)
         for (Task &task : job.tasks)
             if (task.state == State::AgentLost && task.worker.agent == agent.instance)
--- a/src/taskrunner.cpp
+++ b/src/taskrunner.cpp
@@ -17,7 +17,7 @@
 // A worker that leaves polls without a reply for this long is unresponsive: its lease is not
 // renewed.
 constexpr Duration PollTimeout = 200ms;
-// An entry that connects again is told of ends up to this old.
+// Ends are listed in inventories for this long, for entries that connect again.
 constexpr Duration EndedTaskRetention = 4s;
 constexpr Duration WorkerTimeout = 6s; // the time of several heartbeats
 // Entries are sent the load of a worker with poor performance at this interval, as its figures
--- a/src/taskrunner.h
+++ b/src/taskrunner.h
@@ -90,7 +90,7 @@
 struct StartReply
 {
     StartAnswer answer = StartAnswer::NoAnswer;
-    std::optional<WorkerClock> clock; // when the worker replied, if the reply tells it
+    std::optional<WorkerClock> clock; // when the worker replied, if the reply contains it
 };
 
 // What became of a stop or a poll; the values mean the same as in StartAnswer.
@@ -100,7 +100,7 @@
 struct StopReply
 {
     CallAnswer answer = CallAnswer::NoAnswer;
-    std::optional<WorkerClock> clock; // when the worker replied, if the reply tells it
+    std::optional<WorkerClock> clock; // when the worker replied, if the reply contains it
 };
 
 // A run that has not ended, in a list of the worker.
@@ -125,7 +125,7 @@
 {
     CallAnswer answer = CallAnswer::NoAnswer;
     WorkerClock clock; // when the worker replied
-    // Unix time of the start of the worker process; 0 if the worker does not tell.
+    // Unix time of the start of the worker process; 0 if the reply does not contain it.
     std::int64_t startedAtUnixMs = 0;
     std::vector<ActiveRun> active;
     // Ends after PollRuns::acknowledged, in order; the oldest ones if one reply cannot hold them
@@ -195,8 +195,8 @@
     // Stops and refuses tasks whose time has run out, starts queued tasks that have capacity, and
     // polls the workers. To be called after inputs, once for several of them, and at nextTimer().
     void processPending(TimePoint now, RunnerOutbox &out);
-    // Refuses queued and new tasks from now on; runs go on. Tells the entries that the workers are
-    // gone.
+    // Refuses queued and new tasks from now on; runs continue. Reports the workers to the entries
+    // as gone.
     void beginShutdown(RunnerOutbox &out);
 
     // Queries
@@ -283,7 +283,7 @@
         std::map<TaskId, Task> tasks; // not ended
         std::vector<Orphan> orphans;
         WorkerPerformance performance;
-        TimePoint poorReportedAt{}; // when the entries were last told of its poor performance
+        TimePoint poorReportedAt{}; // when its poor performance was last reported to the entries
     };
 
     struct Entry
@@ -321,10 +321,10 @@
     // Counts a poll without a reply; too many make the worker unresponsive.
     void recordUnansweredPoll(Worker &worker, TimePoint now, RunnerOutbox &out);
     void stopOrphans(Worker &worker, TimePoint now, RunnerOutbox &out);
-    // Removes a task whose run has ended and tells its entry.
+    // Removes a task whose run has ended and reports the end to its entry.
     void endTask(Worker &worker, std::map<TaskId, Task>::iterator it, TaskEnd end, TimePoint now,
                  RunnerOutbox &out);
-    // Removes a task that was not started and never will be, and tells its entry.
+    // Removes a task that was not started and never will be, and sends its entry the reason.
     void refuseTask(Worker &worker, std::map<TaskId, Task>::iterator it, StartRefusal reason,
                     RunnerOutbox &out);
     // Refuses an assignment that was not queued, or not any more.
@@ -351,8 +351,8 @@
     bool isEntrySilent(Incarnation entry, TimePoint now) const;
     // Needs of all tasks that are not queued.
     Resources usedResources(const Worker &worker) const;
-    // The worker's clock at time `at`, or a little less: the reply that told it was under way for
-    // some time.
+    // The worker's clock at time `at`, or a little less: the reply that contained the clock took
+    // some time to arrive.
     WorkerClock workerClockAt(const Worker &worker, TimePoint at) const;
     Worker *findWorker(std::string_view id);
     WorkerCallId registerCall(PendingCall call);
--- a/src/taskrunnercalls.cpp
+++ b/src/taskrunnercalls.cpp
@@ -30,7 +30,7 @@
 // Added to the end of a lease or a start window, for calls that are under way and for the worker's
 // clock, which may be 2% slow.
 constexpr Duration LeaseMargin = 60ms;
-constexpr Duration MinProgressTime = 15ms; // the progress of a younger run tells nothing
+constexpr Duration MinProgressTime = 15ms; // the progress of a shorter run is too inexact
 // Ends in one reply; a longer list continues in the next reply.
 constexpr std::size_t MaxListedEnds = 500;
 
@@ -181,7 +181,7 @@
     if (!worker.isSynced || worker.info.isDraining || !worker.orphans.empty() || !m_startsAllowed
         || now < worker.unhealthyUntil || worker.isUnresponsive)
         return;
-    Resources room = worker.info.capacity - usedResources(worker);
+    Resources freeResources = worker.info.capacity - usedResources(worker);
     while (true) {
         Task *best = nullptr;
         for (auto &[id, task] : worker.tasks) {
@@ -192,9 +192,9 @@
         }
         // Only the first in order may start: smaller tasks behind it must not keep it waiting for
         // ever.
-        if (!best || !best->assignment.needs.fitsIn(room))
+        if (!best || !best->assignment.needs.fitsIn(freeResources))
             return;
-        room -= best->assignment.needs;
+        freeResources -= best->assignment.needs;
         best->firstSentAt = now;
         sendStart(worker, *best, now, out);
     }
@@ -238,8 +238,8 @@
         return; // sent again at retryAt
     const bool isProof = task.startCalls == 1;
     if (answer == StartAnswer::OldAttempt && !isProof) {
-        // An unanswered start was carried out and its run has ended; the next list of ends tells
-        // how.
+        // An unanswered start was carried out and its run has ended; the next list of ends will
+        // show how.
         task.state = State::Stopping;
         task.stopAcknowledged = true;
         task.stopAcknowledgedAt = now;
@@ -346,7 +346,7 @@
 void TaskRunner::applyPollReply(Worker &worker, const PollReply &reply, TimePoint askedAt,
                                 TimePoint now, RunnerOutbox &out)
 {
-    const bool wasClean = worker.orphans.empty();
+    const bool wasOrphanFree = worker.orphans.empty();
     for (const EndedRun &end : reply.ended) {
         if (end.number <= worker.acknowledged)
             continue;
@@ -397,8 +397,8 @@
                 refuseTask(worker, it, StartRefusal::Withdrawn, out);
         }
     }
-    const bool isClean = worker.orphans.empty();
-    if (!worker.isSynced || wasClean != isClean)
+    const bool isOrphanFree = worker.orphans.empty();
+    if (!worker.isSynced || wasOrphanFree != isOrphanFree)
         ++m_loadVersion;
     worker.isSynced = true;
     measureProgress(worker, now, out);
--- a/src/taskrunnerqueries.cpp
+++ b/src/taskrunnerqueries.cpp
@@ -24,11 +24,11 @@
 
 std::vector<std::string> TaskRunner::orphanFreeWorkers() const
 {
-    std::vector<std::string> clear;
+    std::vector<std::string> orphanFree;
     for (const auto &[id, worker] : m_workers)
         if (worker.isSynced && worker.orphans.empty())
-            clear.push_back(id);
-    return clear;
+            orphanFree.push_back(id);
+    return orphanFree;
 }
 
 TaskInventory TaskRunner::inventoryOf(Incarnation entry) const
--- a/src/workerdirectory.h
+++ b/src/workerdirectory.h
@@ -46,7 +46,7 @@
     // A heartbeat: the agent's clock showed `sentAt` at some time before `now`. No tasks are sent
     // to an agent before its first heartbeat.
     void updateAgentClock(Incarnation agent, TimePoint sentAt, TimePoint now);
-    // A worker beside the agent is new, has changed or is gone.
+    // A worker of the agent's machine is new, has changed or is gone.
     void updateWorker(Incarnation agent, const WorkerUpdate &update);
     // The newest load of a worker. Ignored for an unknown worker.
     void updateLoad(Incarnation agent, const WorkerLoad &load);
