--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -1,6 +1,8 @@
-// Start-time fair queueing over classes and, within a class, over teams. Cost is slot time: a task
-// is charged its learned run time when it is taken and the difference when it ends, so that long
-// tasks cannot take more than the share of their class.
+// Start-time fair queueing over classes and, within a class, over teams. Each class and team has a
+// start tag, which grows by the cost of its tasks divided by its share or weight; the lowest tag is
+// served next. The cost of a task is slot time: pop() charges the expected run time, and
+// taskEnded() charges the difference to the measured one, so that long tasks cannot take more than
+// the share of their class.
 
 #include "admission.h"
 
@@ -14,23 +16,24 @@
 
 using Seconds = std::chrono::duration<double>;
 
-// Before any run time is learned: the middle of the usual 50 ms to 1 s.
-constexpr double DefaultRunTime = 0.5;
+// Assumed until a run time has been measured: the middle of the usual 50 ms to 1 s.
+constexpr double DefaultRunTimeSeconds = 0.5;
 
-// Weight of the newest run time once enough are known.
-constexpr double NewestShare = 0.02;
+// Weight of the newest run time in the mean after the first 50 samples.
+constexpr double NewestSampleWeight = 0.02;
 
-// Time constant of the memory of refused work, which is expected to come back.
-constexpr double RefusedMemory = 10;
+// Decay time constant of the refused work, which is expected to be submitted again.
+constexpr double RefusedWorkDecaySeconds = 10;
 
-// Time constant of the measured rate of a queue; a few run times long.
-constexpr double RateMemory = 3;
+// Decay time constant of the measured service rate of a queue: a few run times.
+constexpr double ServiceRateDecaySeconds = 3;
 
-constexpr double MinRetryAfter = 1;   // seconds
-constexpr double MaxRetryAfter = 120; // longer would outlast most callers' own patience
+constexpr double MinRetryAfterSeconds = 1;
+constexpr double MaxRetryAfterSeconds = 120; // most callers give up before a longer time
 
-// A flood must not lose its spread: even a small refused crowd comes back over this many seconds.
-constexpr double MinRetrySpread = 1;
+// Retry times are spread over at least this time, so that even a few refused callers do not return
+// at the same moment.
+constexpr double MinRetrySpreadSeconds = 1;
 
 double toSeconds(Duration duration)
 {
@@ -42,7 +45,7 @@
     return std::chrono::duration_cast<Duration>(Seconds(seconds));
 }
 
-// Uniform in [0, 1), equal for equal keys.
+// Hash of `key` and `seed`, uniform in [0, 1).
 double fractionOf(const KeyHash &key, std::uint64_t seed)
 {
     std::uint64_t z = key.high ^ (key.low * 0x9e3779b97f4a7c15ULL) ^ seed;
@@ -87,7 +90,7 @@
     const double slots = std::min(ownSlots, quota);
 
     double wait = queue.backlog / slots;
-    // The own tasks of the job run side by side on the slots that it can get.
+    // The tasks of the job run in parallel on the slots that the team gets.
     double finish = wait + cost * std::max(1.0, std::ceil(static_cast<double>(taskCount) / slots));
     const auto teamIt = m_config.teams.find(std::string(team));
     const double rate
@@ -104,11 +107,11 @@
     const bool isFull = queueTarget > 0 && wait > queueTarget;
     if (!isLate && !isFull)
         return std::nullopt;
-    const bool byQuota = queue.backlog / ownSlots <= queueTarget && quota < ownSlots;
+    const bool isLimitedByQuota = queue.backlog / ownSlots <= queueTarget && quota < ownSlots;
     const double excess = isFull ? wait - queueTarget : std::max(0.0, finish - toSeconds(deadline));
-    return AdmissionRefusal{!isFull   ? "deadline"
-                            : byQuota ? "quota"
-                                      : "queue_full",
+    return AdmissionRefusal{!isFull            ? "deadline"
+                            : isLimitedByQuota ? "quota"
+                                               : "queue_full",
                             retryAfter(queue, excess, work, slots, key, now)};
 }
 
@@ -132,11 +135,12 @@
     auto bestTeam = decltype(bestClass->second.teams.begin()){};
     for (auto it = target.classes.begin(); it != target.classes.end(); ++it) {
         if (it->second.queued == 0
-            || (bestClass != target.classes.end() && it->second.tag >= bestClass->second.tag))
+            || (bestClass != target.classes.end()
+                && it->second.startTag >= bestClass->second.startTag))
             continue;
         const auto team = nextTeam(it->second, blocked, now);
         if (team == it->second.teams.end()) {
-            it->second.tag = std::max(it->second.tag, target.virtualTime);
+            it->second.startTag = std::max(it->second.startTag, target.virtualTime);
             continue;
         }
         bestClass = it;
@@ -148,11 +152,11 @@
     TeamQueue &queue = bestTeam->second;
     QueuedTask task = queue.tasks.begin()->second;
     const double cost = taskCost(target, queue);
-    target.virtualTime = std::max(target.virtualTime, bestClass->second.tag);
-    bestClass->second.virtualTime = std::max(bestClass->second.virtualTime, queue.tag);
-    bestClass->second.tag += cost / classShare(bestClass->first);
-    queue.tag += cost / teamWeight(bestTeam->first);
-    take(m_locations.at(task.token));
+    target.virtualTime = std::max(target.virtualTime, bestClass->second.startTag);
+    bestClass->second.virtualTime = std::max(bestClass->second.virtualTime, queue.startTag);
+    bestClass->second.startTag += cost / classShare(bestClass->first);
+    queue.startTag += cost / teamWeight(bestTeam->first);
+    removeAt(m_locations.at(task.token));
     return task;
 }
 
@@ -163,18 +167,18 @@
     const std::string team = task.team;
     insert(std::move(task));
     UpstreamQueue &target = m_upstreams[upstream];
-    ClassQueue &inClass = target.classes[jobClass];
-    TeamQueue &queue = inClass.teams[team];
+    ClassQueue &classQueue = target.classes[jobClass];
+    TeamQueue &queue = classQueue.teams[team];
     const double cost = taskCost(target, queue);
-    inClass.tag -= cost / classShare(jobClass);
-    queue.tag -= cost / teamWeight(team);
+    classQueue.startTag -= cost / classShare(jobClass);
+    queue.startTag -= cost / teamWeight(team);
 }
 
 void Admission::remove(std::uint64_t token)
 {
     const auto it = m_locations.find(token);
     if (it != m_locations.end())
-        take(it->second);
+        removeAt(it->second);
 }
 
 void Admission::taskStarted(std::string_view team, std::string_view jobClass,
@@ -183,7 +187,7 @@
     UpstreamQueue &target = m_upstreams[std::string(upstream)];
     TeamQueue &queue = target.classes[std::string(jobClass)].teams[std::string(team)];
     queue.running += 1;
-    queue.charged += taskCost(target, queue);
+    queue.chargedInAdvance += taskCost(target, queue);
     Quota &quota = m_quotas[std::string(team)];
     quota.running += 1;
     quota.startTokens -= 1;
@@ -193,29 +197,30 @@
                           std::string_view upstream, std::optional<Duration> runTime)
 {
     UpstreamQueue &target = m_upstreams[std::string(upstream)];
-    ClassQueue &inClass = target.classes[std::string(jobClass)];
-    TeamQueue &queue = inClass.teams[std::string(team)];
+    ClassQueue &classQueue = target.classes[std::string(jobClass)];
+    TeamQueue &queue = classQueue.teams[std::string(team)];
     Quota &quota = m_quotas[std::string(team)];
     if (queue.running < 1)
         return;
     const double seconds = runTime ? toSeconds(*runTime) : 0;
-    const double charge = queue.charged / queue.running;
-    queue.charged -= charge;
+    const double charge = queue.chargedInAdvance / queue.running;
+    queue.chargedInAdvance -= charge;
     queue.running -= 1;
     quota.running = std::max(0.0, quota.running - 1);
-    inClass.tag += (seconds - charge) / classShare(jobClass);
-    queue.tag += (seconds - charge) / teamWeight(team);
+    classQueue.startTag += (seconds - charge) / classShare(jobClass);
+    queue.startTag += (seconds - charge) / teamWeight(team);
     if (!runTime)
         return;
-    queue.rate = measuredRate(queue, m_now) + seconds / RateMemory;
-    queue.ratedAt = m_now;
-    queue.runTime.add(seconds);
-    target.runTime.add(seconds);
-    // A home whose part of the quota is not whole, for example 0.2 of a task, fills the rounded-up
-    // number of places and leaves each empty for so long that the average is the exact part.
-    const double places = quotaSlots(team);
-    if (std::isfinite(places) && std::ceil(places) > places)
-        quota.cooling.insert(m_now + fromSeconds(seconds * (std::ceil(places) / places - 1)));
+    queue.serviceRate = measuredRate(queue, m_now) + seconds / ServiceRateDecaySeconds;
+    queue.serviceRateAt = m_now;
+    queue.runTime.addSample(seconds);
+    target.runTime.addSample(seconds);
+    // The home's part of a running-task quota may be a fraction, for example 0.2 tasks. The home
+    // then runs up to the rounded-up number of tasks, and each ended task counts as running for
+    // some more time, chosen so that the average number of running tasks is the exact part.
+    const double limit = quotaSlots(team);
+    if (std::isfinite(limit) && std::ceil(limit) > limit)
+        quota.heldUntil.insert(m_now + fromSeconds(seconds * (std::ceil(limit) / limit - 1)));
 }
 
 std::size_t Admission::queuedTasks() const
@@ -233,22 +238,22 @@
 {
     const auto it = m_upstreams.find(upstream);
     const bool known = it != m_upstreams.end() && it->second.runTime.samples > 0;
-    return fromSeconds(known ? it->second.runTime.mean : DefaultRunTime);
+    return fromSeconds(known ? it->second.runTime.mean : DefaultRunTimeSeconds);
 }
 
 TimePoint Admission::nextTimer() const
 {
     TimePoint next = NeverTime;
     for (const auto &[name, upstream] : m_upstreams) {
-        for (const auto &[className, inClass] : upstream.classes) {
-            for (const auto &[team, queue] : inClass.teams) {
+        for (const auto &[className, classQueue] : upstream.classes) {
+            for (const auto &[team, queue] : classQueue.teams) {
                 const auto quota = m_quotas.find(team);
                 const auto config = m_config.teams.find(team);
                 if (queue.tasks.empty() || quota == m_quotas.end()
                     || config == m_config.teams.end())
                     continue;
-                if (!quota->second.cooling.empty())
-                    next = std::min(next, *quota->second.cooling.begin());
+                if (!quota->second.heldUntil.empty())
+                    next = std::min(next, *quota->second.heldUntil.begin());
                 const double rate = config->second.maxStartsPerSecond * m_homeShare;
                 if (rate > 0 && quota->second.startTokens < 1)
                     next = std::min(next, quota->second.refilledAt
@@ -260,10 +265,10 @@
     return next;
 }
 
-void Admission::RunTime::add(double seconds)
+void Admission::RunTimeMean::addSample(double seconds)
 {
     samples += 1;
-    mean += (seconds - mean) * std::max(NewestShare, 1 / samples);
+    mean += (seconds - mean) * std::max(NewestSampleWeight, 1 / samples);
 }
 
 double Admission::classShare(std::string_view jobClass) const
@@ -278,23 +283,26 @@
     return it == m_config.teams.end() || it->second.weight <= 0 ? 1 : it->second.weight;
 }
 
-// Expected slot-seconds of one task. Declared times are not used: they may be off by ten times.
+// Expected slot-seconds of one task: the mean of the team, else of the upstream, else the default.
+// Declared run times are not used, because they may be wrong by a factor of ten.
 double Admission::taskCost(const UpstreamQueue &upstream, const TeamQueue &queue) const
 {
     if (queue.runTime.samples > 0)
         return queue.runTime.mean;
-    return upstream.runTime.samples > 0 ? upstream.runTime.mean : DefaultRunTime;
+    return upstream.runTime.samples > 0 ? upstream.runTime.mean : DefaultRunTimeSeconds;
 }
 
-// The team's fair part of all slots of the fleet, as far as this home knows who else is active.
+// The team's fair share of all slots of the fleet, at least 1. The slots are shared with the
+// classes and teams that have queued or running tasks at this home; this home does not know those
+// that are active only at other homes.
 double Admission::fairSlots(const UpstreamQueue &upstream, std::string_view jobClass,
                             std::string_view team) const
 {
     double classes = 0;
     double teams = 0;
-    for (const auto &[name, inClass] : upstream.classes) {
+    for (const auto &[name, classQueue] : upstream.classes) {
         bool busy = name == jobClass;
-        for (const auto &[teamName, queue] : inClass.teams) {
+        for (const auto &[teamName, queue] : classQueue.teams) {
             const bool active = (name == jobClass && teamName == team) || queue.running > 0
                                 || !queue.tasks.empty();
             busy = busy || active;
@@ -306,9 +314,10 @@
                     upstream.slots * classShare(jobClass) / classes * teamWeight(team) / teams);
 }
 
-// Slots that a team can count on at this home. Agents share their slots by class and team whatever
-// the home, so a team that queues at few homes gets more than these homes' part of the fleet. A
-// queue that has just begun counts on its fair part; from then on, what it gets is measured.
+// Slots that the tasks of a team queued at this home can expect. Agents divide their slots by class
+// and team regardless of the home, so a team that queues at only a few homes gets more than the
+// share of these homes. An empty queue expects its fair share of the fleet. A queue with tasks
+// expects the measured service rate, but at least the fair share scaled by the share of this home.
 double Admission::serviceSlots(const UpstreamQueue &upstream, std::string_view jobClass,
                                std::string_view team, TimePoint now) const
 {
@@ -319,12 +328,14 @@
     return std::max(fair * m_homeShare, measuredRate(queue, now));
 }
 
+// Slot-seconds per second that the team has received: `queue.serviceRate`, decayed to `now`.
 double Admission::measuredRate(const TeamQueue &queue, TimePoint now)
 {
-    const double age = std::max(0.0, toSeconds(now - queue.ratedAt));
-    return queue.rate * std::exp(-age / RateMemory);
+    const double age = std::max(0.0, toSeconds(now - queue.serviceRateAt));
+    return queue.serviceRate * std::exp(-age / ServiceRateDecaySeconds);
 }
 
+// This home's part of the running-task quota of the team; infinite without a quota.
 double Admission::quotaSlots(std::string_view team) const
 {
     const auto it = m_config.teams.find(std::string(team));
@@ -333,6 +344,7 @@
     return std::max(1e-3, it->second.maxRunningTasks * m_homeShare);
 }
 
+// The running-task quota and the start rate quota of the team allow another start now.
 bool Admission::isWithinQuota(std::string_view team, TimePoint now)
 {
     const auto it = m_config.teams.find(std::string(team));
@@ -341,43 +353,44 @@
     Quota &quota = m_quotas[std::string(team)];
     const double rate = it->second.maxStartsPerSecond * m_homeShare;
     if (rate > 0) {
-        refill(quota, rate, now);
+        refillStartTokens(quota, rate, now);
         if (quota.startTokens < 1)
             return false;
     }
-    quota.cooling.erase(quota.cooling.begin(), quota.cooling.upper_bound(now));
-    const double places = quotaSlots(team);
-    return !std::isfinite(places)
-           || quota.running + static_cast<double>(quota.cooling.size()) < std::ceil(places);
+    quota.heldUntil.erase(quota.heldUntil.begin(), quota.heldUntil.upper_bound(now));
+    const double limit = quotaSlots(team);
+    return !std::isfinite(limit)
+           || quota.running + static_cast<double>(quota.heldUntil.size()) < std::ceil(limit);
 }
 
-// A second's worth may be saved up, or one start where that is more.
-void Admission::refill(Quota &quota, double startsPerSecond, TimePoint now) const
+// The bucket holds the starts of one second, but at least one.
+void Admission::refillStartTokens(Quota &quota, double startsPerSecond, TimePoint now) const
 {
-    const double most = std::max(1.0, startsPerSecond);
-    if (!quota.metered) {
-        quota.startTokens = most;
+    const double bucketSize = std::max(1.0, startsPerSecond);
+    if (!quota.isRefilled) {
+        quota.startTokens = bucketSize;
     } else {
         quota.startTokens = std::min(
-            most, quota.startTokens + toSeconds(now - quota.refilledAt) * startsPerSecond);
+            bucketSize, quota.startTokens + toSeconds(now - quota.refilledAt) * startsPerSecond);
     }
-    quota.metered = true;
+    quota.isRefilled = true;
     quota.refilledAt = now;
 }
 
+// The team of the class to serve next, or teams.end(). `blocked` collects the teams at their quota.
 std::map<std::string, Admission::TeamQueue, std::less<>>::iterator
 Admission::nextTeam(ClassQueue &queue, std::set<std::string, std::less<>> &blocked, TimePoint now)
 {
     auto best = queue.teams.end();
     for (auto it = queue.teams.begin(); it != queue.teams.end(); ++it) {
         if (it->second.tasks.empty() || blocked.contains(it->first)
-            || (best != queue.teams.end() && it->second.tag >= best->second.tag))
+            || (best != queue.teams.end() && it->second.startTag >= best->second.startTag))
             continue;
         if (isWithinQuota(it->first, now)) {
             best = it;
         } else {
-            // A share that the quota leaves unused is not saved either.
-            it->second.tag = std::max(it->second.tag, queue.virtualTime);
+            // A share that is unused because of a quota is not saved up.
+            it->second.startTag = std::max(it->second.startTag, queue.virtualTime);
             blocked.insert(it->first);
         }
     }
@@ -387,55 +400,61 @@
 void Admission::insert(QueuedTask task)
 {
     UpstreamQueue &target = m_upstreams[task.upstream];
-    ClassQueue &inClass = target.classes[task.jobClass];
-    TeamQueue &queue = inClass.teams[task.team];
-    // A class or team that was idle starts at the present virtual time: unused shares are not
-    // saved.
-    if (inClass.queued == 0)
-        inClass.tag = std::max(inClass.tag, target.virtualTime);
+    ClassQueue &classQueue = target.classes[task.jobClass];
+    TeamQueue &queue = classQueue.teams[task.team];
+    // A class or team that was idle starts at the current virtual time, because unused shares are
+    // not saved up.
+    if (classQueue.queued == 0)
+        classQueue.startTag = std::max(classQueue.startTag, target.virtualTime);
     if (queue.tasks.empty()) {
-        queue.tag = std::max(queue.tag, inClass.virtualTime);
-        // A task that comes back at once does not begin a new queue.
-        if (toSeconds(m_now - queue.emptiedAt) > RateMemory || queue.rate <= 0) {
-            queue.rate = fairSlots(target, task.jobClass, task.team);
-            queue.ratedAt = m_now;
+        queue.startTag = std::max(queue.startTag, classQueue.virtualTime);
+        // The measured rate stays if the queue was empty only for a moment, for example when a
+        // popped task is returned.
+        if (toSeconds(m_now - queue.lastRemovedAt) > ServiceRateDecaySeconds
+            || queue.serviceRate <= 0) {
+            queue.serviceRate = fairSlots(target, task.jobClass, task.team);
+            queue.serviceRateAt = m_now;
         }
     }
     queue.backlog += taskCost(target, queue);
-    ++inClass.queued;
+    ++classQueue.queued;
     ++target.queued;
     m_locations[task.token] = {task.upstream, task.jobClass, task.team, task.order};
     queue.tasks.emplace(task.order, std::move(task));
 }
 
-// Takes a task out of its queue. `location` may lie inside m_locations.
-void Admission::take(const Location &location)
+// Removes a task from its queue. `location` may refer to an element of m_locations.
+void Admission::removeAt(const Location &location)
 {
     UpstreamQueue &target = m_upstreams.find(location.upstream)->second;
-    ClassQueue &inClass = target.classes.find(location.jobClass)->second;
-    TeamQueue &queue = inClass.teams.find(location.team)->second;
+    ClassQueue &classQueue = target.classes.find(location.jobClass)->second;
+    TeamQueue &queue = classQueue.teams.find(location.team)->second;
     const auto task = queue.tasks.find(location.order);
     const std::uint64_t token = task->second.token;
-    // Costs change while tasks wait, so each task takes its part of the sum.
+    // The expected cost of a task may have changed since it was added, so the backlog shrinks by
+    // its mean per task.
     queue.backlog -= queue.backlog / static_cast<double>(queue.tasks.size());
     queue.tasks.erase(task);
-    queue.emptiedAt = m_now;
-    --inClass.queued;
+    queue.lastRemovedAt = m_now;
+    --classQueue.queued;
     --target.queued;
     m_locations.erase(token);
 }
 
-// Until the queue is back at its target, then spread over the time that the refused crowd will
-// need.
+// Retry time of a refused job. `wait` is the time in seconds until the queue is back at its target,
+// or by which the job misses its deadline; `work` is the slot-seconds of the job, `slots` what the
+// team can expect. A part of the time needed for all recently refused work is added, a different
+// one for each key, so that refused callers do not return together.
 Duration Admission::retryAfter(TeamQueue &queue, double wait, double work, double slots,
                                const KeyHash &key, TimePoint now) const
 {
-    const double age = toSeconds(now - queue.refusedAt);
-    queue.refused = queue.refused * std::exp(-age / RefusedMemory) + work;
-    queue.refusedAt = now;
-    const double spread = std::max(MinRetrySpread, queue.refused / slots);
-    const double delay = std::max(MinRetryAfter, wait) + spread * fractionOf(key, m_seed);
-    return fromSeconds(std::min(delay, MaxRetryAfter * (0.5 + 0.5 * fractionOf(key, m_seed))));
+    const double age = toSeconds(now - queue.refusedWorkAt);
+    queue.refusedWork = queue.refusedWork * std::exp(-age / RefusedWorkDecaySeconds) + work;
+    queue.refusedWorkAt = now;
+    const double spread = std::max(MinRetrySpreadSeconds, queue.refusedWork / slots);
+    const double delay = std::max(MinRetryAfterSeconds, wait) + spread * fractionOf(key, m_seed);
+    return fromSeconds(
+        std::min(delay, MaxRetryAfterSeconds * (0.5 + 0.5 * fractionOf(key, m_seed))));
 }
 
 } // namespace cactuscove
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission: shares of classes and teams, quotas, refusals and the spread of retry times.
+// Tests of Admission: shares of classes and teams, quotas, refusals and the spread of retry times.
 
 #include "admission.h"
 
@@ -37,7 +37,8 @@
                            now);
     }
 
-    // Starts and ends one task after the other; how many were of this class and team.
+    // Starts and ends `count` tasks one after the other; returns how many belonged to this class
+    // and team.
     std::size_t served(std::size_t count, std::string_view jobClass, std::string_view team,
                        Duration runTime = milliseconds(100))
     {
@@ -65,7 +66,8 @@
     Admission admission{1};
 };
 
-// Guards against starvation in a flood of the most urgent class: the other keeps its 1 of 4.
+// Guards against starvation: while the class with share 3 is overloaded, the class with share 1
+// still gets a quarter of the starts.
 TEST_F(AdmissionTest, FloodedClassLeavesTheOthersTheirShare)
 {
     push("urgent", "bookings", 1000);
@@ -75,7 +77,7 @@
     EXPECT_LE(bulk, 105U);
 }
 
-// Guards against a team that floods its own class.
+// Guards against a team that takes more than its weight by queueing many tasks in its class.
 TEST_F(AdmissionTest, TeamsOfAClassAreServedByWeight)
 {
     push("bulk", "bookings", 500);
@@ -85,19 +87,21 @@
     EXPECT_LE(billing, 105U);
 }
 
-// Guards against shares that hold back work although nobody else waits.
+// Guards against shares that hold back tasks although no other class waits, and against unused
+// shares that are saved up.
 TEST_F(AdmissionTest, IdleSharesAreUsedAndNotSaved)
 {
     push("bulk", "billing", 300);
     EXPECT_EQ(served(200, "bulk", "billing"), 200U);
-    // The class that was idle gets its share from now on, and no more for the time before.
+    // The class that was idle gets its share from now on and nothing for the time before.
     push("urgent", "bookings", 300);
     const std::size_t urgent = served(100, "urgent", "bookings");
     EXPECT_GE(urgent, 70U);
     EXPECT_LE(urgent, 80U);
 }
 
-// Guards against long tasks taking more than a share, whatever their callers declare.
+// Guards against a class that gets more than its share of slot time because its tasks run longer
+// than the others; the declared run times are all equal.
 TEST_F(AdmissionTest, SharesAreOfSlotTimeAndNotOfTasks)
 {
     push("urgent", "bookings", 2000);
@@ -114,7 +118,8 @@
     EXPECT_NEAR(slotTime[1] / (slotTime[0] + slotTime[1]), 0.25, 0.0125);
 }
 
-// Guards against queues that grow without limit, and against refused callers that return together.
+// Guards against queues that grow without limit, and against refused callers that all retry at the
+// same time.
 TEST_F(AdmissionTest, FloodIsRefusedAtOnceWithSpreadRetryTimes)
 {
     push("bulk", "billing", 2000);
@@ -127,11 +132,11 @@
     }
     std::sort(times.begin(), times.end());
     EXPECT_GE(times[190] - times[10], seconds(1));
-    // The flooded class does not close the others.
+    // The full queue of one class does not affect the others.
     EXPECT_FALSE(admit("urgent", "bookings", 1, seconds(30), 1));
 }
 
-// Guards against accepting what cannot end in time.
+// Guards against accepting a job that cannot finish before its deadline.
 TEST_F(AdmissionTest, DeadlineThatCannotBeMetIsRefused)
 {
     const auto refusal = admit("urgent", "bookings", 370, seconds(1), 1);
@@ -140,7 +145,7 @@
     EXPECT_FALSE(admit("urgent", "bookings", 370, seconds(60), 2));
 }
 
-// Guards against declared times, which may be off by ten times, deciding over refusals.
+// Guards against refusals based on declared run times, which may be wrong by a factor of ten.
 TEST_F(AdmissionTest, LearnedRunTimesReplaceDeclaredOnes)
 {
     push("urgent", "bookings", 100);
@@ -151,7 +156,7 @@
     EXPECT_FALSE(admit("urgent", "bookings", 100, seconds(30), 1));
 }
 
-// Guards against quotas that each home grants in full.
+// Guards against every home granting the full fleet-wide quota.
 TEST_F(AdmissionTest, RunningQuotaIsSplitByTheHomeShare)
 {
     config.teams["billing"].maxRunningTasks = 40;
@@ -165,11 +170,11 @@
         billing += task->team == "billing" ? 1 : 0;
     }
     EXPECT_EQ(billing, 4U);
-    EXPECT_EQ(admission.queuedTasks(), 6U); // bookings was not held back
+    EXPECT_EQ(admission.queuedTasks(), 6U); // 6 of billing; the task of bookings has started
 }
 
-// Guards against rounding a home's part of a small quota up: 0.2 of a task is one task for a fifth
-// of the time.
+// Guards against rounding up a home's part of a small quota: a part of 0.2 tasks means that one
+// task runs a fifth of the time.
 TEST_F(AdmissionTest, FractionOfARunningQuotaHoldsOnAverage)
 {
     config.teams["billing"].maxRunningTasks = 2;
@@ -182,7 +187,7 @@
         if (admission.pop(Upstream, now)) {
             admission.taskStarted("billing", "urgent", Upstream);
             now += milliseconds(100);
-            admission.remove(0); // no such task: must change nothing
+            admission.remove(0); // an unknown token, which must change nothing
             admission.push({++token, "billing", "bulk", Upstream, {}, NeverTime}, now);
             admission.taskEnded("billing", "urgent", Upstream, milliseconds(100));
             slotTime += 0.1;
@@ -195,7 +200,7 @@
     EXPECT_LE(slotTime, 21);
 }
 
-// Guards against bursts over a team's rate quota.
+// Guards against bursts that exceed the start rate quota of a team.
 TEST_F(AdmissionTest, RateQuotaIsSplitByTheHomeShare)
 {
     config.teams["billing"].maxStartsPerSecond = 100;
@@ -212,17 +217,18 @@
         }
     }
     EXPECT_GE(started, 98U);
-    EXPECT_LE(started, 111U); // 10/s for 10 s and one second's worth saved
+    EXPECT_LE(started, 111U); // 10/s for 10 s, and the bucket holds the starts of one second
 }
 
-// Guards against lost or doubled tasks when they are returned, removed and taken in any order.
+// Guards against lost, duplicated or reordered tasks when tasks are pushed, popped, returned and
+// removed in any order.
 RC_GTEST_PROP(AdmissionProperty, EveryTaskIsTakenOnceInItsOrder, ())
 {
     Admission admission(1);
     const TimePoint now{seconds(1)};
     std::set<std::uint64_t> queued;
     std::uint64_t token = 0;
-    std::uint64_t last = 0; // of the single team
+    std::uint64_t last = 0; // token of the last task popped for good
     for (const int action : *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 5))) {
         if (action < 2) {
             admission.push({++token, "a", "c", Upstream, {}, NeverTime}, now);
