--- a/src/placement.cpp
+++ b/src/placement.cpp
@@ -1,4 +1,4 @@
-// Candidate lists from digests, and the policies that choose among them.
+// Builds the list of candidates from the load reports, and implements the policies.
 
 #include "placement.h"
 
@@ -10,14 +10,16 @@
 
 using std::chrono::milliseconds;
 
-// Time from a send until a digest that counts it arrives: one round trip (under 2 ms between data
-// centres) and the batching of a loop turn. A send younger than this is not yet in the digest.
-constexpr Duration DigestLag = milliseconds(3);
+// Longest time from sending a task until the agent counts it in its report: one round trip (under
+// 2 ms between data centres) and the batching of one turn of the event loop. A report may
+// not count a task that was sent less than this time before the report was made.
+constexpr Duration ReportDelay = milliseconds(3);
 
-// Reservations of one flow of one home at one agent. Agents offer slots to the reservations of a
-// flow in their order, so with one each they serve the homes in turn; with one per queued task, a
-// home with a job of 370 tasks is served before all later jobs of the others.
-constexpr double MaxReservationsPerAgent = 1;
+// Limit for the reservations of one flow that one home holds at one agent. An agent offers slots to
+// the reservations of a flow in their order of arrival. With one reservation for each home it
+// serves the homes in turn; with one for each queued task, a home with a job of 370 tasks would be
+// served before all later jobs of the other homes.
+constexpr double MaxFlowReservationsPerAgent = 1;
 
 bool fits(const TaskResources &needs, const TaskResources &capacity)
 {
@@ -29,13 +31,13 @@
     return load.upstream == upstream && !load.draining && load.slots > 0;
 }
 
-void dropUntil(std::deque<TimePoint> &times, TimePoint end)
+void removeUntil(std::deque<TimePoint> &times, TimePoint end)
 {
     while (!times.empty() && times.front() <= end)
         times.pop_front();
 }
 
-// Two distinct random candidates (or the same one twice if there is only one).
+// Indexes of two different random candidates of `n`, or the same one twice if there is only one.
 std::pair<std::size_t, std::size_t> pickTwo(std::size_t n, Random &random)
 {
     const std::size_t first = random.below(n);
@@ -52,31 +54,32 @@
     return random.below(candidates.size());
 }
 
+// Expected wait of a new reservation, in run times of a task.
 double expectedWait(const Candidate &it)
 {
-    return (it.queued - it.free + 1) / (it.slots * it.weight);
+    return (it.queued - it.freeSlots + 1) / (it.slots * it.weight);
 }
 
 } // namespace
 
-// Random in proportion to weight and free slots: homes that see the same digests do not all choose
-// the same agent.
+// The choice is random in proportion to weight and free slots, so that homes with the same reports
+// do not all choose the same agent.
 std::optional<std::size_t> DigestPolicy::pickFree(std::span<const Candidate> candidates,
                                                   Random &random)
 {
     for (const bool near : {true, false}) {
         double total = 0;
         for (const Candidate &it : candidates)
-            total += it.near == near && it.free >= 1 ? it.weight * it.free : 0;
+            total += it.near == near && it.freeSlots >= 1 ? it.weight * it.freeSlots : 0;
         if (total <= 0)
             continue;
-        double mark = random.fraction() * total;
+        double threshold = random.fraction() * total;
         std::optional<std::size_t> chosen;
-        for (std::size_t i = 0; i < candidates.size() && mark >= 0; ++i) {
+        for (std::size_t i = 0; i < candidates.size() && threshold >= 0; ++i) {
             const Candidate &it = candidates[i];
-            if (it.near != near || it.free < 1)
+            if (it.near != near || it.freeSlots < 1)
                 continue;
-            mark -= it.weight * it.free;
+            threshold -= it.weight * it.freeSlots;
             chosen = i;
         }
         return chosen;
@@ -89,7 +92,7 @@
 {
     std::vector<std::size_t> open;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        if (candidates[i].reserved < MaxReservationsPerAgent)
+        if (candidates[i].reserved < MaxFlowReservationsPerAgent)
             open.push_back(i);
     }
     if (open.empty())
@@ -136,7 +139,8 @@
     if (candidates.empty())
         return std::nullopt;
     const auto [first, second] = pickTwo(candidates.size(), random);
-    return candidates[first].staleFree >= candidates[second].staleFree ? first : second;
+    return candidates[first].reportedFreeSlots >= candidates[second].reportedFreeSlots ? first
+                                                                                       : second;
 }
 
 std::optional<std::size_t>
@@ -164,18 +168,18 @@
 }
 
 template <PlacementPolicy Policy>
-void BasicPlacement<Policy>::observe(const LoadReport &digest, TimePoint now)
+void BasicPlacement<Policy>::observe(const LoadReport &report, TimePoint now)
 {
     m_now = std::max(m_now, now);
-    const auto it = m_agents.find(digest.agent);
-    const TimePoint observedAt = now - digest.age;
+    const auto it = m_agents.find(report.agent);
+    const TimePoint observedAt = now - report.age;
     if (it == m_agents.end() || observedAt < it->second.observedAt)
         return;
     Agent &agent = it->second;
-    agent.load = digest;
+    agent.load = report;
     agent.observedAt = observedAt;
-    dropUntil(agent.sends, observedAt - DigestLag);
-    dropUntil(agent.reservations, observedAt - DigestLag);
+    removeUntil(agent.recentSends, observedAt - ReportDelay);
+    removeUntil(agent.recentReservations, observedAt - ReportDelay);
 }
 
 template <PlacementPolicy Policy>
@@ -189,10 +193,11 @@
 void BasicPlacement<Policy>::taskSent(Incarnation agent)
 {
     if (const auto it = m_agents.find(agent); it != m_agents.end())
-        it->second.sends.push_back(m_now);
+        it->second.recentSends.push_back(m_now);
 }
 
-// The digest on the envelope that carried the end already counts the freed slot.
+// Does nothing: the envelope that reports the end carries a report that already counts the freed
+// slot.
 template <PlacementPolicy Policy>
 void BasicPlacement<Policy>::taskEnded(Incarnation)
 {}
@@ -203,11 +208,11 @@
     const auto it = m_agents.find(agent);
     if (it == m_agents.end())
         return;
-    // The send took no slot after all.
-    if (!it->second.sends.empty())
-        it->second.sends.pop_front();
-    it->second.reservations.push_back(m_now);
-    ++it->second.held[std::string(flow)];
+    // The sent task occupies no slot.
+    if (!it->second.recentSends.empty())
+        it->second.recentSends.pop_front();
+    it->second.recentReservations.push_back(m_now);
+    ++it->second.reservationsByFlow[std::string(flow)];
 }
 
 template <PlacementPolicy Policy>
@@ -216,9 +221,9 @@
     const auto it = m_agents.find(agent);
     if (it == m_agents.end())
         return;
-    const auto held = it->second.held.find(flow);
-    if (held != it->second.held.end() && --held->second == 0)
-        it->second.held.erase(held);
+    const auto held = it->second.reservationsByFlow.find(flow);
+    if (held != it->second.reservationsByFlow.end() && --held->second == 0)
+        it->second.reservationsByFlow.erase(held);
 }
 
 template <PlacementPolicy Policy>
@@ -237,11 +242,12 @@
         it.near = agent.dataCentre == m_dataCentre;
         it.weight = agent.weight;
         it.slots = agent.load.slots;
-        it.staleFree = agent.load.freeSlots;
-        it.free = it.staleFree - static_cast<double>(agent.sends.size());
-        it.queued = agent.load.queued + static_cast<double>(agent.reservations.size());
-        const auto held = agent.held.find(flow);
-        it.reserved = (held == agent.held.end() ? 0 : held->second) + std::max(0.0, -it.free);
+        it.reportedFreeSlots = agent.load.freeSlots;
+        it.freeSlots = it.reportedFreeSlots - static_cast<double>(agent.recentSends.size());
+        it.queued = agent.load.queued + static_cast<double>(agent.recentReservations.size());
+        const auto held = agent.reservationsByFlow.find(flow);
+        it.reserved = (held == agent.reservationsByFlow.end() ? 0 : held->second)
+                      + std::max(0.0, -it.freeSlots);
         result.push_back(it);
     }
     return result;
--- a/src/placement.h
+++ b/src/placement.h
@@ -1,4 +1,5 @@
-// Chooses the agent for a task start from piggybacked load digests and the home's own sends.
+// Chooses the agent that a home sends a task to, from the load reports of the agents and from what
+// the home itself has sent since.
 
 #pragma once
 
@@ -16,20 +17,29 @@
 
 namespace cactuscove {
 
-// One agent that could run the task, as the home believes it to be now.
+// One agent that could run the task, as the home estimates its load now.
 struct Candidate
 {
     Incarnation agent;
-    bool near = false;    // in the home's own data centre
-    double weight = 1;    // > 0
-    double free = 0;      // slots; digest less own sends that the digest cannot contain
-    double queued = 0;    // reservations; digest plus own reservations since
-    double slots = 1;     // > 0
-    double staleFree = 0; // slots by the digest alone
-    double reserved = 0;  // own reservations of the flow, and sends that can only become some
+    bool near = false; // in the home's own data centre
+    double weight = 1; // from setWeight(); > 0
+    // Free slots: those of the report less the tasks that the home has sent and that the report
+    // does not count yet. Negative if the home has sent more than that.
+    double freeSlots = 0;
+    // Reservations waiting at the agent: those of the report and those of the home that the report
+    // does not count yet.
+    double queued = 0;
+    double slots = 1;             // > 0
+    double reportedFreeSlots = 0; // free slots of the report alone
+    // Reservations that this home holds for the flow of the task, and sent tasks beyond the free
+    // slots, whose answer can only be another reservation.
+    double reserved = 0;
 };
 
-// A rule that picks one of several candidates. `pickFree` may return none if all look busy.
+// A policy picks one of several candidates and returns its index. `pickFree` picks an agent that
+// should start the task at once; none if all are believed busy. `pickForReservation` picks an agent
+// that should hold a reservation until it has a free slot; none if no further reservation is
+// allowed.
 template <typename T>
 concept PlacementPolicy = requires(T policy, std::span<const Candidate> candidates, Random &random)
 {
@@ -41,7 +51,9 @@
         } -> std::same_as<std::optional<std::size_t>>;
 };
 
-// The policy in use: free slots net of own sends, near data centres first.
+// The policy that homes use. For a start it picks an agent with a free slot, in the home's own data
+// centre if possible, at random in proportion to weight and free slots. For a reservation it picks
+// the agent with the shorter expected wait of two random ones.
 struct DigestPolicy
 {
     std::optional<std::size_t> pickFree(std::span<const Candidate> candidates, Random &random);
@@ -49,7 +61,8 @@
                                                   Random &random);
 };
 
-// Baselines. Each sends without regard to whether the agent is believed busy.
+// RandomPolicy, RoundRobinPolicy and StaleTwoChoicesPolicy are baselines for measurements. They
+// send to an agent even if it is believed busy.
 struct RandomPolicy
 {
     std::optional<std::size_t> pickFree(std::span<const Candidate> candidates, Random &random);
@@ -65,7 +78,8 @@
     Incarnation last; // agent of the previous pick
 };
 
-// Two random agents, the less loaded by its last digest; own sends are not counted.
+// Of two random agents, the one with more free slots in its last report. Tasks that the home has
+// sent since are not counted.
 struct StaleTwoChoicesPolicy
 {
     std::optional<std::size_t> pickFree(std::span<const Candidate> candidates, Random &random);
@@ -73,60 +87,76 @@
                                                   Random &random);
 };
 
+// Estimates the load of every agent and lets the policy choose one for each task. JobHome calls it
+// from the event loop of the agent that is the home. Calls about an unknown agent are ignored.
 template <PlacementPolicy Policy>
 class BasicPlacement
 {
 public:
-    // `dataCentre` is the home's own; near agents are preferred.
+    // `dataCentre` is that of the home, whose agents are preferred. `seed` is that of the random
+    // choices.
     explicit BasicPlacement(std::string dataCentre, std::uint64_t seed);
 
     // Commands
+    // Adds an agent, or changes its data centre. It is chosen once a load report has arrived.
     void setAgent(Incarnation agent, std::string_view dataCentre);
     void removeAgent(Incarnation agent);
-    void observe(const LoadReport &digest, TimePoint now); // older observations are ignored
-    void setWeight(Incarnation agent, double weight);      // from WorkerHealth; 0 is ejected
+    // Stores a load report, unless a newer one of the same agent has arrived before.
+    void observe(const LoadReport &report, TimePoint now);
+    // `weight` is that of WorkerHealth, in [0, 1]. An agent of weight 0 is not chosen.
+    void setWeight(Incarnation agent, double weight);
+    // The home has sent a StartTask message to the agent.
     void taskSent(Incarnation agent);
+    // A sent task has ended at the agent or was taken back.
     void taskEnded(Incarnation agent);
-    // The agent answered TaskBusy to a sent task. `flow` names what agents share their slots by,
-    // the class and team of the task.
+    // The agent answered a sent task with TaskBusy and holds a reservation. `flow` names the class
+    // and team of the task, by which agents divide their slots.
     void reserved(Incarnation agent, std::string_view flow = {});
-    // It was offered, or will never be.
+    // The reservation was offered a slot, or was withdrawn or lost.
     void reservationEnded(Incarnation agent, std::string_view flow = {});
 
     // Queries
-    // An agent that is believed to have a free slot; none if all are believed busy.
+    // An agent to start the task at once, because it is believed to have a free slot; none if all
+    // are believed busy.
     std::optional<Incarnation> chooseFree(std::string_view upstream, const TaskResources &needs,
                                           TimePoint now, std::span<const Incarnation> excluded);
-    // The agent on which a reservation is expected to wait the shortest; none if the home already
-    // holds its limit for the flow on every agent.
+    // An agent to hold a reservation for the task; none if the home already holds its limit of
+    // reservations for the flow at every agent.
     std::optional<Incarnation> chooseForReservation(std::string_view upstream,
                                                     const TaskResources &needs, TimePoint now,
                                                     std::span<const Incarnation> excluded,
                                                     std::string_view flow = {});
+    // Some agent, busy or not, has the resources that the task needs.
     bool hasCapableAgent(std::string_view upstream, const TaskResources &needs) const;
+    // Some agent serves the upstream and is not draining.
     bool hasUpstream(std::string_view upstream) const;
+    // Slots of all agents that serve the upstream and are not draining, busy or not.
     std::uint32_t totalSlots(std::string_view upstream) const;
 
 private:
     struct Agent
     {
         std::string dataCentre;
-        LoadReport load;
-        TimePoint observedAt = TimePoint::min();
-        std::deque<TimePoint> sends;        // that the digest may not contain; in time order
-        std::deque<TimePoint> reservations; // likewise
-        std::map<std::string, std::uint32_t, std::less<>> held; // own reservations by flow
+        LoadReport load;                         // the newest report
+        TimePoint observedAt = TimePoint::min(); // when the agent made the report
+        // Times of the tasks sent and reservations made that the report may not count yet, oldest
+        // first.
+        std::deque<TimePoint> recentSends;
+        std::deque<TimePoint> recentReservations;
+        // Number of reservations that the home holds at the agent.
+        std::map<std::string, std::uint32_t, std::less<>> reservationsByFlow;
         double weight = 1;
     };
 
+    // The agents that can run the task, are not ejected and are not in `excluded`.
     std::vector<Candidate> candidates(std::string_view upstream, const TaskResources &needs,
                                       std::span<const Incarnation> excluded,
                                       std::string_view flow) const;
 
-    std::string m_dataCentre;
+    std::string m_dataCentre; // of the home
     Random m_random;
     Policy m_policy;
-    TimePoint m_now{}; // latest time seen; times the commands that carry none
+    TimePoint m_now{}; // latest time passed in, for the commands without a `now`
     std::map<Incarnation, Agent> m_agents;
 };
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,5 @@
-// Placement on digests: free slots, own sends, data centres, weights and reservations.
+// Tests of the placement by load reports: free slots, sent tasks, data centres, weights and
+// reservations.
 
 #include "placement.h"
 
@@ -12,7 +13,7 @@
 
 constexpr char Upstream[] = "walk-desk";
 
-LoadReport digest(std::uint64_t agent, std::uint32_t freeSlots, std::uint32_t queued = 0)
+LoadReport report(std::uint64_t agent, std::uint32_t freeSlots, std::uint32_t queued = 0)
 {
     LoadReport it;
     it.agent = Incarnation{agent};
@@ -30,7 +31,7 @@
     void add(std::uint64_t agent, std::string_view dataCentre, std::uint32_t freeSlots)
     {
         placement.setAgent(Incarnation{agent}, dataCentre);
-        placement.observe(digest(agent, freeSlots), now);
+        placement.observe(report(agent, freeSlots), now);
     }
     std::optional<Incarnation> free(const TaskResources &needs = {})
     {
@@ -41,7 +42,8 @@
     Placement placement{"near", 1};
 };
 
-// Guards against herding: one home must not send more tasks to an agent than it has free slots.
+// Guards against overload of an agent: a home must not send more tasks to it than it has free
+// slots, also before the next report arrives.
 TEST_F(PlacementTest, OwnSendsCountAgainstFreeSlots)
 {
     add(1, "near", 3);
@@ -50,26 +52,26 @@
         placement.taskSent(Incarnation{1});
     }
     EXPECT_FALSE(free());
-    // A digest from before the sends could be counted must not bring the slots back.
+    // A report that was made too early to count the sent tasks must not free the slots again.
     now += milliseconds(1);
-    placement.observe(digest(1, 3), now);
+    placement.observe(report(1, 3), now);
     EXPECT_FALSE(free());
     now += milliseconds(100);
-    placement.observe(digest(1, 1), now);
+    placement.observe(report(1, 1), now);
     EXPECT_TRUE(free());
 }
 
-// Guards against messages overtaking each other: an older digest must not replace a newer one.
+// Guards against reordered messages: an older report must not replace a newer one.
 TEST_F(PlacementTest, OlderDigestIsIgnored)
 {
     add(1, "near", 0);
-    LoadReport old = digest(1, 8);
+    LoadReport old = report(1, 8);
     old.age = milliseconds(50);
     placement.observe(old, now + milliseconds(10));
     EXPECT_FALSE(free());
 }
 
-// Guards against needless hops to other data centres.
+// Guards against sending tasks to another data centre while the home's own has free slots.
 TEST_F(PlacementTest, NearAgentsComeFirst)
 {
     add(1, "far", 8);
@@ -79,7 +81,7 @@
     EXPECT_EQ(free(), Incarnation{1});
 }
 
-// Guards against starts on ejected, draining or too small agents.
+// Guards against starts on agents that are ejected, draining or too small for the task.
 TEST_F(PlacementTest, UnfitAgentsAreLeftOut)
 {
     add(1, "near", 8);
@@ -88,15 +90,16 @@
     placement.setWeight(Incarnation{1}, 0);
     EXPECT_FALSE(free());
     placement.setWeight(Incarnation{1}, 1);
-    LoadReport draining = digest(1, 8);
+    LoadReport draining = report(1, 8);
     draining.draining = true;
     placement.observe(draining, now);
     EXPECT_FALSE(free());
     EXPECT_FALSE(placement.hasUpstream(Upstream));
 }
 
-// Guards against one flow holding every place at the agents (p50 1.47x of the central queue without
-// a limit), and against a limit that stays reached after the reservation has ended.
+// Guards against one flow that fills the reservation queues of the agents (without a limit, the
+// p50 was 1.47 times that of a central queue), and against a limit that stays reached
+// after the reservation has ended.
 TEST_F(PlacementTest, OneReservationOfAFlowAtEachAgent)
 {
     add(1, "near", 0);
@@ -105,7 +108,7 @@
     };
     ASSERT_TRUE(choose("bulk/billing"));
     placement.taskSent(Incarnation{1});
-    EXPECT_FALSE(choose("bulk/billing")); // its answer can only be a reservation
+    EXPECT_FALSE(choose("bulk/billing")); // the sent task can only end up as a reservation
     placement.reserved(Incarnation{1}, "bulk/billing");
     EXPECT_FALSE(choose("bulk/billing"));
     EXPECT_TRUE(choose("urgent/bookings"));
@@ -113,7 +116,7 @@
     EXPECT_TRUE(choose("bulk/billing"));
 }
 
-// Guards against starvation of a worker by the random choice, and against choosing busy agents.
+// Guards against free agents that the random choice never picks, and against choosing busy ones.
 RC_GTEST_PROP(PlacementProperty, ChosenAgentHasAFreeSlot, ())
 {
     Placement placement("near", *rc::gen::arbitrary<std::uint64_t>());
@@ -121,7 +124,7 @@
     const TimePoint now{std::chrono::seconds(1)};
     for (std::size_t i = 0; i < slots.size(); ++i) {
         placement.setAgent(Incarnation{i + 1}, i % 2 == 0 ? "near" : "far");
-        placement.observe(digest(i + 1, static_cast<std::uint32_t>(slots[i])), now);
+        placement.observe(report(i + 1, static_cast<std::uint32_t>(slots[i])), now);
     }
     std::vector<int> left = slots;
     while (const auto agent = placement.chooseFree(Upstream, {}, now, {})) {
@@ -131,13 +134,14 @@
     RC_ASSERT(left == std::vector<int>(11, 0));
 }
 
-// Guards against a baseline that does not compile against the concept or skips agents.
+// Guards against a baseline policy that no longer satisfies the concept, and against skipped
+// agents.
 TEST(PlacementBaselines, RoundRobinVisitsEveryAgent)
 {
     BasicPlacement<RoundRobinPolicy> placement("near", 1);
     for (std::uint64_t i = 1; i <= 3; ++i) {
         placement.setAgent(Incarnation{i}, "near");
-        placement.observe(digest(i, 0), TimePoint{});
+        placement.observe(report(i, 0), TimePoint{});
     }
     for (const std::uint64_t expected : {1, 2, 3, 1})
         EXPECT_EQ(placement.chooseFree(Upstream, {}, TimePoint{}, {}), Incarnation{expected});
