--- a/src/agenthandover.cpp
+++ b/src/agenthandover.cpp
@@ -1,5 +1,6 @@
-// Shutdown of an agent and memories: hands its own to an heir, keeps those of others, and answers
-// the questions of new homes from both.
+// Shutdown of an agent: hands its records of started tasks and jobs to another agent, its heir.
+// Also keeps the records of the processes whose heir this agent is, and answers the Raise messages
+// of new homes from its own records and from these.
 
 #include "agentnodeimpl.h"
 
@@ -12,20 +13,21 @@
 
 namespace {
 
-// An heir that acknowledges nothing for this long is replaced by another one.
-constexpr Duration AdoptPatience = 2s;
-constexpr Duration AdoptRepeat = 500ms;
-// Limits of one part of the memory, so that no envelope holds up the others for long.
+// An heir that acknowledges no part for this time is replaced by another one.
+constexpr Duration AdoptAckTimeout = 2s;
+constexpr Duration PartResendInterval = 500ms;
+// Limits for one part, so that a large envelope does not delay the following ones for long.
 constexpr std::size_t MaxPartJobs = 500;
 constexpr std::size_t MaxPartBytes = 256U << 10U; // of result bodies
-constexpr std::size_t PartsInFlight = 8;
-// Time to hand shards and memory over once nothing runs here any more. When the whole fleet leaves
-// at once, nobody takes them; the process then leaves without an heir.
-constexpr Duration HandOverLimit = 10s;
+constexpr std::size_t MaxPartsInFlight = 8;
+// Time for handing over shards and records after the last task and job have ended. When the whole
+// fleet shuts down at once, no process takes them, and this one leaves without an heir.
+constexpr Duration HandoverTimeout = 10s;
 
 } // namespace
 
-// For itself and for every process that it is the heir of (rule R4).
+// Answers for itself and for every process whose heir it is, because a new home must learn of every
+// started task (rule R4).
 void AgentNode::Impl::answerRaise(Incarnation from, const Raise &raise, TimePoint now,
                                   Outbox &out) const
 {
@@ -37,7 +39,7 @@
     }
     out.send(from, std::move(own));
     for (const auto &[subject, adopted] : m_adopted) {
-        if (!isAnswererFor(subject))
+        if (!answersFor(subject))
             continue;
         Witness witness{subject, raise.claims, {}};
         for (const auto &[part, jobs] : adopted.parts) {
@@ -54,9 +56,9 @@
     }
 }
 
-// Only once the log says so is the memory here whole: a process leaves after its heir has
-// acknowledged every part.
-bool AgentNode::Impl::isAnswererFor(Incarnation subject) const
+// True if the chain of heirs in the ledger leads from `subject` to this process. The records here
+// are complete only then, because a process leaves after its heir has acknowledged every part.
+bool AgentNode::Impl::answersFor(Incarnation subject) const
 {
     for (std::size_t steps = 0; steps <= m_ledger.members().size(); ++steps) {
         const MemberState *state = m_ledger.member(subject);
@@ -72,7 +74,7 @@
 {
     if (m_stage != Stage::Serving || !isActive())
         return; // the sender chooses another heir
-    Adopted &adopted = m_adopted[message.subject];
+    AdoptedRecords &adopted = m_adopted[message.subject];
     adopted.parts[message.part] = message.jobs;
     adopted.receivedAt = now;
     out.send(from, AdoptAck{message.subject, message.part});
@@ -82,95 +84,99 @@
 {
     const auto isSame
         = [&](const AdoptWitness &it) { return it.subject == ack.subject && it.part == ack.part; };
-    if (from != m_heir || std::erase_if(m_unadopted, isSame) == 0)
+    if (from != m_heir || std::erase_if(m_unacknowledgedParts, isSame) == 0)
         return;
-    m_heirDue = now + AdoptPatience;
-    if (m_unadopted.size() % PartsInFlight == 0)
+    m_heirDeadline = now + AdoptAckTimeout;
+    if (m_unacknowledgedParts.size() % MaxPartsInFlight == 0)
         sendParts(now, out);
 }
 
-// Running tasks end first, then the shards move, then the memory: what is handed over is final.
-void AgentNode::Impl::stepShutdown(TimePoint now, Outbox &out)
+// Proceeds in this order: running tasks and jobs end, the shards are transferred, the records are
+// handed over. So the records no longer change when they are handed over.
+void AgentNode::Impl::advanceShutdown(TimePoint now, Outbox &out)
 {
-    const bool isQuiet = m_executor.isIdle() && m_jobs.isIdle();
-    if (m_stage == Stage::Draining && isQuiet && m_handOverEnd == NeverTime)
-        m_handOverEnd = now + HandOverLimit;
-    const bool isTooLate = m_handOverEnd <= now;
-    if (m_stage == Stage::Draining && isQuiet && (m_shards.hasNothingToTransfer() || isTooLate)) {
+    const bool isIdle = m_executor.isIdle() && m_jobs.isIdle();
+    if (m_stage == Stage::Draining && isIdle && m_handoverDeadline == NeverTime)
+        m_handoverDeadline = now + HandoverTimeout;
+    const bool isTimedOut = m_handoverDeadline <= now;
+    if (m_stage == Stage::Draining && isIdle && (m_shards.hasNothingToTransfer() || isTimedOut)) {
         m_stage = Stage::HandingOver;
-        handOver(now, out);
-    } else if (m_stage == Stage::HandingOver && (m_unadopted.empty() || isTooLate)) {
-        if (!m_unadopted.empty())
+        startHandover(now, out);
+    } else if (m_stage == Stage::HandingOver && (m_unacknowledgedParts.empty() || isTimedOut)) {
+        if (!m_unacknowledgedParts.empty())
             m_heir = {};
         m_stage = Stage::Leaving;
-        m_heirDue = NeverTime;
-        m_nextParts = NeverTime;
+        m_heirDeadline = NeverTime;
+        m_nextPartsSend = NeverTime;
         out.add(
             Append{Record{"leave-" + std::to_string(m_self.value), LeaveRecord{m_self, m_heir}}});
-    } else if (m_stage == Stage::HandingOver && m_heirDue <= now) {
-        m_refusedHeirs.insert(m_heir);
-        handOver(now, out);
-    } else if (m_stage == Stage::HandingOver && m_nextParts <= now) {
+    } else if (m_stage == Stage::HandingOver && m_heirDeadline <= now) {
+        m_unresponsiveHeirs.insert(m_heir);
+        startHandover(now, out);
+    } else if (m_stage == Stage::HandingOver && m_nextPartsSend <= now) {
         sendParts(now, out);
     }
 }
 
-void AgentNode::Impl::handOver(TimePoint now, Outbox &out)
+// Chooses an heir and starts to send it all records; without another agent there is no heir.
+void AgentNode::Impl::startHandover(TimePoint now, Outbox &out)
 {
     m_heir = {};
-    m_unadopted.clear();
-    m_heirDue = now + AdoptPatience;
+    m_unacknowledgedParts.clear();
+    m_heirDeadline = now + AdoptAckTimeout;
     std::vector<Incarnation> candidates = m_ledger.upMembers(Role::Agent);
     std::erase(candidates, m_self);
     if (candidates.empty())
-        return; // the last one: nobody is left to ask it
-    const auto isRefused = [&](Incarnation it) { return m_refusedHeirs.contains(it); };
-    if (std::ranges::all_of(candidates, isRefused))
-        m_refusedHeirs.clear();
-    std::erase_if(candidates, isRefused);
+        return; // the last agent of the fleet: no new home is left that could ask for its records
+    const auto isUnresponsive = [&](Incarnation it) { return m_unresponsiveHeirs.contains(it); };
+    if (std::ranges::all_of(candidates, isUnresponsive))
+        m_unresponsiveHeirs.clear();
+    std::erase_if(candidates, isUnresponsive);
     m_heir = candidates[(m_settings.seed + m_self.value) % candidates.size()];
-    std::vector<AdoptedJob> own = m_executor.memory(now);
+    std::vector<AdoptedJob> own = m_executor.rememberedStarts(now);
     std::ranges::move(m_jobs.memory(now), std::back_inserter(own));
-    packMemory(m_self, std::move(own));
+    addParts(m_self, std::move(own));
     for (const auto &[subject, adopted] : m_adopted) {
         std::vector<AdoptedJob> jobs;
         for (const auto &[part, list] : adopted.parts)
             jobs.insert(jobs.end(), list.begin(), list.end());
         for (AdoptedJob &it : jobs)
             it.age += now - adopted.receivedAt;
-        packMemory(subject, std::move(jobs));
+        addParts(subject, std::move(jobs));
     }
     sendParts(now, out);
 }
 
-// Divides the memory into parts; an empty memory is one empty part.
-void AgentNode::Impl::packMemory(Incarnation subject, std::vector<AdoptedJob> jobs)
+// Divides the records of `subject` into parts and adds them to the parts to send. Without records
+// there is one empty part.
+void AgentNode::Impl::addParts(Incarnation subject, std::vector<AdoptedJob> jobs)
 {
-    m_unadopted.push_back({subject, {}, ++m_lastPart});
+    m_unacknowledgedParts.push_back({subject, {}, ++m_lastPart});
     std::size_t bytes = 0;
     for (AdoptedJob &job : jobs) {
         std::size_t size = 0;
         for (const WitnessedTask &task : job.job.tasks)
             size += task.result.body.size();
-        if (m_unadopted.back().jobs.size() >= MaxPartJobs
+        if (m_unacknowledgedParts.back().jobs.size() >= MaxPartJobs
             || (bytes > 0 && bytes + size > MaxPartBytes)) {
-            m_unadopted.push_back({subject, {}, ++m_lastPart});
+            m_unacknowledgedParts.push_back({subject, {}, ++m_lastPart});
             bytes = 0;
         }
         bytes += size;
-        m_unadopted.back().jobs.push_back(std::move(job));
+        m_unacknowledgedParts.back().jobs.push_back(std::move(job));
     }
 }
 
 void AgentNode::Impl::sendParts(TimePoint now, Outbox &out)
 {
-    const std::size_t n = std::min(PartsInFlight, m_unadopted.size());
+    const std::size_t n = std::min(MaxPartsInFlight, m_unacknowledgedParts.size());
     for (std::size_t i = 0; i < n; ++i)
-        out.send(m_heir, m_unadopted[i]);
-    m_nextParts = now + AdoptRepeat;
+        out.send(m_heir, m_unacknowledgedParts[i]);
+    m_nextPartsSend = now + PartResendInterval;
 }
 
-void AgentNode::Impl::forgetAdopted(TimePoint now)
+// Removes records that are older than id_memory.
+void AgentNode::Impl::expireAdopted(TimePoint now)
 {
     const Duration memory = m_ledger.fleetConfig().idMemory;
     for (auto &[subject, adopted] : m_adopted) {
@@ -180,9 +186,9 @@
         for (auto &[part, jobs] : adopted.parts)
             std::erase_if(jobs, isOld);
     }
-    // Also the parts of a process that chose another heir in the end.
+    // Also removes the parts of a process that chose another heir afterwards.
     std::erase_if(m_adopted, [&](const auto &it) {
-        return it.second.receivedAt + memory <= now && !isAnswererFor(it.first);
+        return it.second.receivedAt + memory <= now && !answersFor(it.first);
     });
 }
 
--- a/src/agentnode.cpp
+++ b/src/agentnode.cpp
@@ -1,4 +1,4 @@
-// Wires the decisions of an agent together and follows its life: registration, feeds, revival.
+// Connects the parts of an agent node, and keeps its ledger and registration up to date.
 
 #include "agentnodeimpl.h"
 
@@ -11,19 +11,21 @@
 
 namespace {
 
-// An agent without a feed for this long reads the log itself. The jitter keeps the agents of an
-// entry that has failed from reading all at once.
-constexpr Duration FeedPatience = 5s;
-constexpr Duration FeedPatienceJitter = 2s;
-// A process that has never been fed is new and usually not yet known to the entries.
-constexpr Duration FirstFeedPatience = 500ms;
+// An agent that has received no feed for this time reads the log itself. The jitter keeps the
+// agents of a failed entry from starting to read all at once.
+constexpr Duration FeedTimeout = 5s;
+constexpr Duration FeedTimeoutJitter = 2s;
+// Timeout for the first feed. A new process is usually not known to the entries yet.
+constexpr Duration FirstFeedTimeout = 500ms;
 
 } // namespace
 
 void AgentNode::Impl::start(TimePoint now, Outbox &out)
 {
     m_startedAt = now;
-    m_logContact = now; // an active node's ledger holds its registration, appended from now on
+    // This is true once the node is active: its ledger contains its registration then, and every
+    // record before it, and the registration is appended after `now`.
+    m_logContact = now;
     appendRegistration(out);
 }
 
@@ -63,7 +65,7 @@
     m_executor.onTimer(now, out);
     m_shards.onTimer(now, out);
     m_jobs.onTimer(now, out);
-    forgetAdopted(now);
+    expireAdopted(now);
 }
 
 void AgentNode::Impl::beginShutdown(TimePoint now, Outbox &out)
@@ -75,14 +77,14 @@
     m_shards.beginLeaving(now, out);
 }
 
-void AgentNode::Impl::settle(Outbox &inner, TimePoint now, Outbox &out)
+void AgentNode::Impl::processFollowUps(Outbox &inner, TimePoint now, Outbox &out)
 {
     while (true) {
         importReceivedShards(now);
         m_jobs.decideWaitingJobs(now, inner);
         m_jobs.onLoad(loads().front(), now);
         m_jobs.placeQueuedTasks(now, inner);
-        stepShutdown(now, inner);
+        advanceShutdown(now, inner);
         if (inner.isEmpty())
             return;
         for (Effect &effect : inner.take()) {
@@ -97,10 +99,11 @@
 
 TimePoint AgentNode::Impl::nextTimer() const
 {
-    return std::min(
-        {m_executor.nextTimer(), m_upstreams.nextTimer(), m_shards.nextTimer(), m_jobs.nextTimer(),
-         m_heirDue, m_nextParts,
-         m_stage == Stage::Draining || m_stage == Stage::HandingOver ? m_handOverEnd : NeverTime});
+    return std::min({m_executor.nextTimer(), m_upstreams.nextTimer(), m_shards.nextTimer(),
+                     m_jobs.nextTimer(), m_heirDeadline, m_nextPartsSend,
+                     m_stage == Stage::Draining || m_stage == Stage::HandingOver
+                         ? m_handoverDeadline
+                         : NeverTime});
 }
 
 bool AgentNode::Impl::shouldReadLog(TimePoint now) const
@@ -108,9 +111,9 @@
     if (m_startedAt == NeverTime)
         return false;
     if (!m_lastFeed)
-        return now >= m_startedAt + FirstFeedPatience;
-    const auto jitter = FeedPatienceJitter * static_cast<std::int64_t>(m_settings.seed % 100) / 100;
-    return now >= *m_lastFeed + FeedPatience + jitter;
+        return now >= m_startedAt + FirstFeedTimeout;
+    const auto jitter = FeedTimeoutJitter * static_cast<std::int64_t>(m_settings.seed % 100) / 100;
+    return now >= *m_lastFeed + FeedTimeout + jitter;
 }
 
 std::vector<LoadReport> AgentNode::Impl::loads() const
@@ -133,7 +136,7 @@
     } else if (const auto *ack = std::get_if<AdoptAck>(&message)) {
         onAdoptAck(from, *ack, now, out);
     } else {
-        // Each of them ignores the messages that are meant for the others.
+        // Each of the three ignores the messages that it does not handle.
         m_executor.onMessage(from, message, now, out);
         m_shards.onMessage(from, message, now, out);
         m_jobs.onMessage(from, message, now, out);
@@ -157,7 +160,7 @@
              FeedAck{m_ledger.next(), static_cast<std::uint64_t>(now.time_since_epoch().count())});
 }
 
-// Stops at a gap: the sender learns from the acknowledgement where to go on.
+// Stops at a gap in the offsets. The acknowledgement tells the sender where to continue.
 void AgentNode::Impl::applyRecords(std::span<const LogRecord> records, LedgerChanges &changes)
 {
     for (const LogRecord &record : records) {
@@ -206,16 +209,17 @@
 void AgentNode::Impl::appendRegistration(Outbox &out)
 {
     m_registrationId
-        = "register-" + std::to_string(m_self.value) + "-" + std::to_string(++m_registrations);
+        = "register-" + std::to_string(m_self.value) + "-" + std::to_string(++m_registrationCount);
     out.add(Append{Record{m_registrationId, RegisterRecord{m_settings.self}}});
 }
 
-// A process that finds itself down, or retired, takes part again with the same memory.
+// Registers again if the ledger shows this process as down or no longer shows it. The process then
+// rejoins the fleet with its present state.
 void AgentNode::Impl::checkRegistration(Outbox &out)
 {
     const MemberState *self = m_ledger.member(m_self);
-    const bool isGone = self == nullptr || (self->isDown && !self->hasLeft);
-    if (isGone && m_startedAt != NeverTime && m_ledger.hasAppend(m_registrationId)) {
+    const bool needsRegistration = self == nullptr || (self->isDown && !self->hasLeft);
+    if (needsRegistration && m_startedAt != NeverTime && m_ledger.hasAppend(m_registrationId)) {
         out.add(LogEvent{Severity::Warning, "register_again", {}});
         appendRegistration(out);
     }
@@ -236,14 +240,14 @@
 {
     Outbox inner;
     m_impl->onEnvelope(envelope, now, inner);
-    m_impl->settle(inner, now, out);
+    m_impl->processFollowUps(inner, now, out);
 }
 
 void AgentNode::onUndelivered(Incarnation to, const Message &message, TimePoint now, Outbox &out)
 {
     Outbox inner;
     m_impl->jobs().onUndelivered(to, message, now, inner);
-    m_impl->settle(inner, now, out);
+    m_impl->processFollowUps(inner, now, out);
 }
 
 void AgentNode::onLogRecords(std::span<const LogRecord> records, LogOffset, TimePoint now,
@@ -251,14 +255,14 @@
 {
     Outbox inner;
     m_impl->onLogRecords(records, now, inner);
-    m_impl->settle(inner, now, out);
+    m_impl->processFollowUps(inner, now, out);
 }
 
 void AgentNode::onLogSnapshot(const SnapshotRecord &snapshot, TimePoint now, Outbox &out)
 {
     Outbox inner;
     m_impl->onLogSnapshot(snapshot, now, inner);
-    m_impl->settle(inner, now, out);
+    m_impl->processFollowUps(inner, now, out);
 }
 
 void AgentNode::onUpstreamAnnounced(const UpstreamAnnouncement &announcement, TimePoint now,
@@ -266,14 +270,14 @@
 {
     Outbox inner;
     m_impl->onUpstreamChange(m_impl->upstreams().announce(announcement, now), now, inner);
-    m_impl->settle(inner, now, out);
+    m_impl->processFollowUps(inner, now, out);
 }
 
 void AgentNode::onUpstreamLeft(std::string_view incarnation, TimePoint now, Outbox &out)
 {
     Outbox inner;
     m_impl->onUpstreamChange(m_impl->upstreams().leave(incarnation), now, inner);
-    m_impl->settle(inner, now, out);
+    m_impl->processFollowUps(inner, now, out);
 }
 
 void AgentNode::onUpstreamResult(const TaskRef &ref, std::uint32_t attempt, TaskResult result,
@@ -281,21 +285,21 @@
 {
     Outbox inner;
     m_impl->executor().onUpstreamResult(ref, attempt, std::move(result), now, inner);
-    m_impl->settle(inner, now, out);
+    m_impl->processFollowUps(inner, now, out);
 }
 
 void AgentNode::onTimer(TimePoint now, Outbox &out)
 {
     Outbox inner;
     m_impl->onTimer(now, inner);
-    m_impl->settle(inner, now, out);
+    m_impl->processFollowUps(inner, now, out);
 }
 
 void AgentNode::beginShutdown(TimePoint now, Outbox &out)
 {
     Outbox inner;
     m_impl->beginShutdown(now, inner);
-    m_impl->settle(inner, now, out);
+    m_impl->processFollowUps(inner, now, out);
 }
 
 TimePoint AgentNode::nextTimer() const
--- a/src/agentnodeimpl.h
+++ b/src/agentnodeimpl.h
@@ -1,4 +1,4 @@
-// State of an agent node, shared by the units that implement it. Not for other modules.
+// State of an agent node. Included only by agentnode.cpp and agenthandover.cpp.
 
 #pragma once
 
@@ -38,8 +38,10 @@
     void onUpstreamChange(UpstreamRegistry::Change change, TimePoint now, Outbox &out);
     void onTimer(TimePoint now, Outbox &out);
     void beginShutdown(TimePoint now, Outbox &out);
-    // Follow-ups of any event: messages to itself, new knowledge, freed slots, shutdown steps.
-    void settle(Outbox &inner, TimePoint now, Outbox &out);
+    // Called after each event with its effects in `inner`. Delivers the messages of the node to
+    // itself, decides on waiting jobs, places queued tasks and advances the shutdown until nothing
+    // changes any more, and moves all other effects to `out`.
+    void processFollowUps(Outbox &inner, TimePoint now, Outbox &out);
 
     TimePoint nextTimer() const;
     bool isActive() const { return m_ledger.member(m_self) != nullptr; }
@@ -53,13 +55,19 @@
     bool isShutdownComplete() const { return m_stage == Stage::Left; }
 
 private:
-    enum class Stage { Serving, Draining, HandingOver, Leaving, Left };
+    enum class Stage {
+        Serving,
+        Draining,    // finishes running tasks and transfers its shards
+        HandingOver, // hands its records to the heir
+        Leaving,     // waits until the ledger shows its LeaveRecord
+        Left
+    };
 
-    // The memory of a process that left, or is about to.
-    struct Adopted
+    // The records of a process that has left or is about to leave.
+    struct AdoptedRecords
     {
-        std::map<std::uint32_t, std::vector<AdoptedJob>> parts;
-        TimePoint receivedAt; // of the newest part
+        std::map<std::uint32_t, std::vector<AdoptedJob>> parts; // by part number
+        TimePoint receivedAt;                                   // of the newest part
     };
 
     void dispatch(Incarnation from, const Message &message, TimePoint now, Outbox &out);
@@ -73,12 +81,12 @@
     void onAdoptWitness(Incarnation from, const AdoptWitness &message, TimePoint now, Outbox &out);
     void appendRegistration(Outbox &out);
     void checkRegistration(Outbox &out);
-    void stepShutdown(TimePoint now, Outbox &out);
-    void handOver(TimePoint now, Outbox &out);
-    void packMemory(Incarnation subject, std::vector<AdoptedJob> jobs);
+    void advanceShutdown(TimePoint now, Outbox &out);
+    void startHandover(TimePoint now, Outbox &out);
+    void addParts(Incarnation subject, std::vector<AdoptedJob> jobs);
     void sendParts(TimePoint now, Outbox &out);
-    bool isAnswererFor(Incarnation subject) const;
-    void forgetAdopted(TimePoint now);
+    bool answersFor(Incarnation subject) const;
+    void expireAdopted(TimePoint now);
 
     NodeSettings m_settings;
     Incarnation m_self;
@@ -90,22 +98,23 @@
     Placement m_placement;
     WorkerHealth m_health;
     JobHome m_jobs;
-    std::map<Incarnation, Adopted> m_adopted; // memories of processes that left, by subject
+    std::map<Incarnation, AdoptedRecords> m_adopted; // by the process that left
 
     TimePoint m_startedAt = NeverTime;
     std::optional<TimePoint> m_lastFeed;
-    TimePoint m_logContact{};     // the ledger holds all that the log held then
-    std::string m_registrationId; // of the newest registration asked for
-    std::uint32_t m_registrations = 0;
+    TimePoint m_logContact{};     // the ledger holds every record that the log held at this time
+    std::string m_registrationId; // append id of the newest registration
+    std::uint32_t m_registrationCount = 0;
 
     Stage m_stage = Stage::Serving;
-    Incarnation m_heir;
-    std::set<Incarnation> m_refusedHeirs; // did not answer in time
-    std::deque<AdoptWitness> m_unadopted; // parts that the heir has not acknowledged yet
-    std::uint32_t m_lastPart = 0;         // part numbers are never reused, also for another heir
-    TimePoint m_heirDue = NeverTime;
-    TimePoint m_nextParts = NeverTime;
-    TimePoint m_handOverEnd = NeverTime; // set once nothing runs here any more
+    Incarnation m_heir;                             // 0 if there is none
+    std::set<Incarnation> m_unresponsiveHeirs;      // did not acknowledge in time
+    std::deque<AdoptWitness> m_unacknowledgedParts; // parts that the heir has not acknowledged yet
+    std::uint32_t m_lastPart = 0;          // part numbers are not reused, not even for another heir
+    TimePoint m_heirDeadline = NeverTime;  // when another heir is chosen
+    TimePoint m_nextPartsSend = NeverTime; // when unacknowledged parts are sent again
+    // When the handover ends even if it is not complete. Set when the last task and job have ended.
+    TimePoint m_handoverDeadline = NeverTime;
 };
 
 } // namespace cactuscove
--- a/src/reservationqueue.cpp
+++ b/src/reservationqueue.cpp
@@ -26,20 +26,20 @@
 {
     remove(reservation.ref);
     if (m_index.empty()) {
-        // What was used while nobody waited took nothing from anybody.
+        // Slot time that was used while no reservation waited was not taken from anyone.
         m_classes.clear();
-        m_lastUsed = 0;
+        m_virtualTime = 0;
     }
     Class &jobClass = m_classes[reservation.jobClass];
     if (jobClass.waiting == 0)
-        jobClass.used = std::max(jobClass.used, m_lastUsed);
+        jobClass.weightedUse = std::max(jobClass.weightedUse, m_virtualTime);
     Team &team = jobClass.teams[reservation.team];
     if (team.fifo.empty())
-        team.used = std::max(team.used, jobClass.lastUsed);
+        team.weightedUse = std::max(team.weightedUse, jobClass.virtualTime);
     ++jobClass.waiting;
-    m_index[reservation.ref] = {reservation.jobClass, reservation.team, m_arrivals};
+    m_index[reservation.ref] = {reservation.jobClass, reservation.team, m_arrivalCount};
     m_deadlines.emplace(reservation.deadline, reservation.ref);
-    team.fifo.emplace(m_arrivals++, std::move(reservation));
+    team.fifo.emplace(m_arrivalCount++, std::move(reservation));
 }
 
 std::optional<Reservation> ReservationQueue::remove(const TaskRef &ref)
@@ -51,22 +51,22 @@
 }
 
 std::optional<Reservation>
-ReservationQueue::takeBest(const std::function<bool(Incarnation)> &mayOffer)
+ReservationQueue::takeBest(const std::function<bool(Incarnation)> &accepts)
 {
     Class *bestClass = nullptr;
     Team *bestTeam = nullptr;
     const Reservation *best = nullptr;
     for (auto &[className, jobClass] : m_classes) {
-        if (jobClass.waiting == 0 || (bestClass && jobClass.used >= bestClass->used))
+        if (jobClass.waiting == 0 || (bestClass && jobClass.weightedUse >= bestClass->weightedUse))
             continue;
         Team *classTeam = nullptr;
         const Reservation *classBest = nullptr;
         for (auto &[teamName, team] : jobClass.teams) {
-            if (classTeam && team.used >= classTeam->used)
+            if (classTeam && team.weightedUse >= classTeam->weightedUse)
                 continue;
             const auto it
                 = std::find_if(team.fifo.begin(), team.fifo.end(),
-                               [&](const auto &entry) { return mayOffer(entry.second.home); });
+                               [&](const auto &entry) { return accepts(entry.second.home); });
             if (it != team.fifo.end()) {
                 classTeam = &team;
                 classBest = &it->second;
@@ -80,8 +80,8 @@
     }
     if (!best)
         return {};
-    m_lastUsed = bestClass->used;
-    bestClass->lastUsed = bestTeam->used;
+    m_virtualTime = bestClass->weightedUse;
+    bestClass->virtualTime = bestTeam->weightedUse;
     return take(m_index.find(best->ref));
 }
 
@@ -108,10 +108,10 @@
     if (it == m_classes.end())
         return;
     const double seconds = std::chrono::duration<double>(slotTime).count();
-    it->second.used += seconds / shareOf(config, jobClass);
+    it->second.weightedUse += seconds / shareOf(config, jobClass);
     const auto member = it->second.teams.find(team);
     if (member != it->second.teams.end())
-        member->second.used += seconds / weightOf(config, team);
+        member->second.weightedUse += seconds / weightOf(config, team);
 }
 
 const Reservation *ReservationQueue::find(const TaskRef &ref) const
@@ -127,7 +127,7 @@
 {
     std::vector<TaskRef> result;
     result.reserve(m_index.size());
-    for (const auto &[ref, place] : m_index)
+    for (const auto &[ref, position] : m_index)
         result.push_back(ref);
     return result;
 }
@@ -137,14 +137,14 @@
     return m_deadlines.empty() ? NeverTime : m_deadlines.begin()->first;
 }
 
-Reservation ReservationQueue::take(std::map<TaskRef, Place>::iterator place)
+Reservation ReservationQueue::take(std::map<TaskRef, Position>::iterator position)
 {
-    Class &jobClass = m_classes.find(place->second.jobClass)->second;
-    Team &team = jobClass.teams.find(place->second.team)->second;
-    auto node = team.fifo.extract(place->second.arrival);
+    Class &jobClass = m_classes.find(position->second.jobClass)->second;
+    Team &team = jobClass.teams.find(position->second.team)->second;
+    auto node = team.fifo.extract(position->second.arrival);
     --jobClass.waiting;
     m_deadlines.erase({node.mapped().deadline, node.mapped().ref});
-    m_index.erase(place);
+    m_index.erase(position);
     return std::move(node.mapped());
 }
 
--- a/src/startmemory.cpp
+++ b/src/startmemory.cpp
@@ -1,4 +1,4 @@
-// Bounded memory of started and refused tasks.
+// Records of started and refused tasks, bounded in age and in result size.
 
 #include "startmemory.h"
 
@@ -8,10 +8,11 @@
 
 namespace {
 
-// Jobs that expire within the same second share one timer.
-constexpr Duration ExpiryGrain = std::chrono::seconds(1);
-// First check of a job. Only the time of the check depends on it: a job that is not yet old enough
-// is checked again when it is.
+// Checks are rounded up to full seconds, so that jobs that expire within the same second share one
+// timer.
+constexpr Duration ExpiryGranularity = std::chrono::seconds(1);
+// Time from the first record of a job to the first check of its age. A job that is not old enough
+// then is checked again when it is.
 constexpr Duration FirstExpiryCheck = std::chrono::seconds(60);
 
 TimePoint roundUp(TimePoint time)
@@ -19,7 +20,8 @@
     return std::chrono::ceil<std::chrono::seconds>(time);
 }
 
-// What is known of one task from runs below an epoch; none if no such run started.
+// The run to report of those that started at an epoch lower than `below`: a completed one if there
+// is any, else the newest. nullptr if none started.
 const TaskRun *bestRun(const TaskRecord &record, Epoch below)
 {
     const TaskRun *best = nullptr;
@@ -32,7 +34,7 @@
     return best;
 }
 
-// The epoch after every other one, so that every run counts.
+// Higher than every epoch in use, so that all runs are lower.
 constexpr Epoch AnyEpoch{UINT64_MAX};
 
 } // namespace
@@ -60,10 +62,10 @@
     : m_maxResultBytes(maxResultBytes)
 {}
 
-TaskRecord &StartMemory::bury(const TaskRef &ref, const AttemptId &id, TimePoint now)
+TaskRecord &StartMemory::addTombstone(const TaskRef &ref, const AttemptId &id, TimePoint now)
 {
     TaskRecord &record = touch(ref.key, now).tasks[ref.index];
-    record.highest = std::max(record.highest, id);
+    record.highestDecided = std::max(record.highestDecided, id);
     return record;
 }
 
@@ -74,7 +76,7 @@
     job.taskCount = start.taskCount;
     TaskRecord &record = job.tasks[start.ref.index];
     record.id = start.task.id;
-    record.highest = std::max(record.highest, run.id);
+    record.highestDecided = std::max(record.highestDecided, run.id);
     const auto position = std::find_if(record.runs.begin(), record.runs.end(), [&](const auto &it) {
         return it.id.attempt > run.id.attempt;
     });
@@ -105,13 +107,13 @@
                 bytes += it.result.body.size();
             }
         }
-        const TimePoint due = job->second.touched + idMemory;
+        const TimePoint due = job->second.changedAt + idMemory;
         if (!isRunning && due <= now) {
             m_resultBytes -= bytes;
             jobs.erase(job);
             continue;
         }
-        node.key() = roundUp(std::max(due, now + ExpiryGrain));
+        node.key() = roundUp(std::max(due, now + ExpiryGranularity));
         m_expiry.insert(std::move(node));
     }
     while (!m_stored.empty() && !findRun(m_stored.front()))
@@ -141,7 +143,7 @@
         if (const TaskRun *run = bestRun(record, below))
             seen.tasks.push_back({index, record.id, run->result});
     }
-    // A job of which nothing started here is not reported: for this executor its key is new.
+    // A job of which no task has started here is not reported.
     if (seen.tasks.empty())
         return {};
     return seen;
@@ -157,7 +159,7 @@
     return result;
 }
 
-std::vector<AdoptedJob> StartMemory::adopted(TimePoint now) const
+std::vector<AdoptedJob> StartMemory::adoptableJobs(TimePoint now) const
 {
     std::vector<AdoptedJob> result;
     for (const auto &jobs : m_jobs) {
@@ -170,7 +172,7 @@
                 for (const TaskRun &it : record.runs)
                     lowest = std::min(lowest, it.id.epoch);
             }
-            result.push_back({std::move(*seen), lowest, now - job.touched});
+            result.push_back({std::move(*seen), lowest, now - job.changedAt});
         }
     }
     return result;
@@ -186,7 +188,7 @@
     const auto [job, isNew] = m_jobs[shardOf(key).value].try_emplace(key);
     if (isNew)
         m_expiry.emplace(roundUp(now + FirstExpiryCheck), key);
-    job->second.touched = now;
+    job->second.changedAt = now;
     return job->second;
 }
 
@@ -204,7 +206,7 @@
         if (!run || run->result.body.empty())
             continue;
         m_resultBytes -= run->result.body.size();
-        run->result = TaskResult{}; // that it started stays known
+        run->result = TaskResult{}; // Unknown; the run still counts as started
     }
 }
 
--- a/src/taskexecutor.cpp
+++ b/src/taskexecutor.cpp
@@ -1,4 +1,4 @@
-// Starts, refusals, results and reservations of one executor.
+// Handles starts, cancellations, results, reservations and offers of one executor.
 
 #include "taskexecutor.h"
 
@@ -9,24 +9,26 @@
 
 namespace {
 
-// The home usually answers within 1 ms. A slot stays empty for at most two of these waits when it
-// does not, which is in the order of one short task.
-constexpr Duration OfferWait = std::chrono::milliseconds(50);
-// A home that left an offer and its repeat unanswered gets the next one after this time; a silent
-// connection is replaced after 2 s.
-constexpr Duration SilentHomePause = std::chrono::seconds(1);
-constexpr Duration FirstDoneRepeat = std::chrono::milliseconds(500);
-constexpr Duration LongestDoneRepeat = std::chrono::seconds(8);
-// A quarter of the memory limit of 256 MB per process.
+// A home usually answers an offer within 1 ms. If it does not, the slot stays empty for at most two
+// of these timeouts, which is about the run time of a short task.
+constexpr Duration OfferTimeout = std::chrono::milliseconds(50);
+// A home that left an offer and its repeat unanswered gets no further offer for this time. Senders
+// replace a connection that is silent for 2 s.
+constexpr Duration UnresponsiveHomePause = std::chrono::seconds(1);
+constexpr Duration FirstResultResendInterval = std::chrono::milliseconds(500);
+constexpr Duration MaxResultResendInterval = std::chrono::seconds(8);
+// Limit for the stored result bodies: a quarter of the memory limit of 256 MB per process.
 constexpr std::size_t MaxResultBytes = 64U << 20U;
-// Charged when a slot is given away, so that slots that free together go to different classes and
-// teams. It is the lower end of the usual run times (50 ms to 1 s).
+// Slot time that is charged to the class and team as soon as a slot is offered or taken, so that
+// slots that become free together go to different classes and teams. It is the lower end of the
+// usual run times (50 ms to 1 s).
 constexpr Duration StartCharge = std::chrono::milliseconds(50);
-// Weight of the newest result in the failure rate: as in WorkerHealth, four failures in a row pass
-// the default ejection threshold of 0.5.
-constexpr double NewestShare = 0.2;
+// Weight of the newest result in the failure rate. As in WorkerHealth, four failures in a row
+// exceed the default ejection threshold of 0.5.
+constexpr double NewestResultWeight = 0.2;
 
-// Decisions have no random generator, so the id of a span is a hash of what it covers.
+// The span id is a hash of the attempt and the executor, because the executor has no random
+// generator.
 std::string spanIdOf(const TaskRef &ref, std::uint32_t attempt, Incarnation self)
 {
     const KeyHash hash
@@ -37,8 +39,8 @@
     return text;
 }
 
-// 0 is no limit.
-std::uint32_t limitedBy(std::uint32_t value, std::uint32_t limit)
+// The lower of `value` and `limit`; a limit of 0 means no limit.
+std::uint32_t applyLimit(std::uint32_t value, std::uint32_t limit)
 {
     return limit == 0 ? value : std::min(value, limit);
 }
@@ -54,7 +56,7 @@
 
 void TaskExecutor::onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out)
 {
-    const bool wasSilent = m_silentHomes.erase(from) > 0;
+    const bool wasUnresponsive = m_unresponsiveHomes.erase(from) > 0;
     if (const auto *start = std::get_if<StartTask>(&message))
         onStartTask(from, *start, now, out);
     else if (const auto *cancel = std::get_if<CancelTask>(&message))
@@ -65,14 +67,15 @@
         onOfferDeclined(*declined, now, out);
     else if (const auto *raise = std::get_if<Raise>(&message))
         onRaise(*raise, now, out);
-    if (wasSilent)
+    if (wasUnresponsive)
         offerSlots(now, out);
 }
 
 void TaskExecutor::onUpstreamResult(const TaskRef &ref, std::uint32_t attempt, TaskResult result,
                                     TimePoint now, Outbox &out)
 {
-    // Not among the running ones: a second result, or one of an upstream that was given up.
+    // An attempt that is not running has a result already: from the upstream, or Unknown because
+    // its upstream was replaced or its lease expired.
     const RunKey key{ref, attempt};
     if (!m_running.contains(key))
         return;
@@ -83,8 +86,8 @@
 void TaskExecutor::onUpstreamChange(UpstreamRegistry::Change change, TimePoint now, Outbox &out)
 {
     using Change = UpstreamRegistry::Change;
-    if (change == Change::Replaced || change == Change::Lapsed)
-        loseRunning(now, out);
+    if (change == Change::Replaced || change == Change::LeaseExpired)
+        endLostRuns(now, out);
     if (change != Change::None)
         m_failureRate = 0;
     if (!m_upstreams.current())
@@ -95,18 +98,18 @@
 void TaskExecutor::onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out)
 {
     if (!changes.shards.empty())
-        removeBelowFence(now);
-    offerSlots(now, out); // the limits may have changed
+        removeStaleReservations(now);
+    offerSlots(now, out); // the configured slot limits may have changed
 }
 
 void TaskExecutor::onTimer(TimePoint now, Outbox &out)
 {
-    std::erase_if(m_silentHomes, [&](const auto &it) { return it.second <= now; });
+    std::erase_if(m_unresponsiveHomes, [&](const auto &it) { return it.second <= now; });
     for (const Reservation &it : m_queue.takeExpired(now))
-        m_memory.bury(it.ref, it.id, now);
-    repeatDone(now, out);
+        m_memory.addTombstone(it.ref, it.id, now);
+    resendDueResults(now, out);
     m_memory.expire(now, m_ledger.fleetConfig().idMemory);
-    handleDueOffers(now, out);
+    handleOverdueOffers(now, out);
     offerSlots(now, out);
 }
 
@@ -119,11 +122,11 @@
 TimePoint TaskExecutor::nextTimer() const
 {
     TimePoint next = std::min(m_memory.nextExpiry(), m_queue.nextDeadline());
-    if (!m_repeats.empty())
-        next = std::min(next, m_repeats.begin()->first);
+    if (!m_resends.empty())
+        next = std::min(next, m_resends.begin()->first);
     for (const auto &[ref, offer] : m_offers)
         next = std::min(next, offer.due);
-    for (const auto &[home, until] : m_silentHomes)
+    for (const auto &[home, until] : m_unresponsiveHomes)
         next = std::min(next, until);
     return next;
 }
@@ -131,7 +134,7 @@
 bool TaskExecutor::isIdle() const
 {
     return m_running.empty()
-           && std::none_of(m_repeats.begin(), m_repeats.end(), [&](const auto &it) {
+           && std::none_of(m_resends.begin(), m_resends.end(), [&](const auto &it) {
                   const TaskRecord *record = m_memory.find(it.second.ref);
                   const TaskRun *run = record ? record->run(it.second.attempt) : nullptr;
                   return run && isReachable(run->home);
@@ -140,18 +143,18 @@
 
 LoadReport TaskExecutor::load() const
 {
-    LoadReport digest;
-    digest.agent = m_self;
-    digest.draining = m_isDraining;
-    digest.queued = static_cast<std::uint32_t>(m_queue.size() + m_offers.size());
+    LoadReport report;
+    report.agent = m_self;
+    report.draining = m_isDraining;
+    report.queued = static_cast<std::uint32_t>(m_queue.size() + m_offers.size());
     if (const auto &upstream = m_upstreams.current()) {
-        digest.upstream = upstream->upstream;
-        digest.slots = slotLimit();
-        digest.freeSlots = freeSlots();
-        digest.capacity = upstream->capacity;
-        digest.failurePercent = static_cast<std::uint32_t>(100 * m_failureRate);
+        report.upstream = upstream->upstream;
+        report.slots = slotLimit();
+        report.freeSlots = freeSlots();
+        report.capacity = upstream->capacity;
+        report.failurePercent = static_cast<std::uint32_t>(100 * m_failureRate);
     }
-    return digest;
+    return report;
 }
 
 std::vector<WitnessedJob> TaskExecutor::witnessed(ShardId shard, Epoch below) const
@@ -159,28 +162,30 @@
     return m_memory.witnessed(shard, below);
 }
 
-std::vector<AdoptedJob> TaskExecutor::memory(TimePoint now) const
+std::vector<AdoptedJob> TaskExecutor::rememberedStarts(TimePoint now) const
 {
-    return m_memory.adopted(now);
+    return m_memory.adoptableJobs(now);
 }
 
 Epoch TaskExecutor::fence(ShardId shard) const
 {
-    return std::max(m_ledger.shard(shard).epoch, m_raised[shard.value]);
+    return std::max(m_ledger.shard(shard).epoch, m_raisedEpochs[shard.value]);
 }
 
 void TaskExecutor::onStartTask(Incarnation from, const StartTask &msg, TimePoint now, Outbox &out)
 {
-    if (!m_ledger.member(m_self)) // rule R5: not active yet, the home repeats
+    // Rule R5: a new home asks only registered processes which tasks have started. So nothing
+    // starts here before the ledger shows the registration; the home repeats its request.
+    if (!m_ledger.member(m_self))
         return;
-    if (answerStarted(from, msg, out))
+    if (replyIfStarted(from, msg, out))
         return;
     if (msg.epoch < fence(shardOf(msg.ref.key)))
         return refuse(from, msg.ref, msg.attempt, TaskRefusal::StaleEpoch, out);
 
-    // Each attempt is decided once, when its first copy arrives. After TaskBusy only the answer to
-    // an offer starts it: a late copy of the first request must not, because the home may have
-    // bound the task to another reservation meanwhile.
+    // Each attempt is decided once, when the first copy of its StartTask arrives. After TaskBusy
+    // only the answer to an offer starts the task. A late copy of the first request must not start
+    // it, because the home may have placed the task on another agent in the meantime.
     const AttemptId id{msg.epoch, msg.attempt};
     const Reservation *held = findReservation(msg.ref);
     if (held && held->id == id && !msg.isOfferReply) {
@@ -189,17 +194,19 @@
     }
     const bool isBinding = held && msg.isOfferReply && id >= held->id;
     const TaskRecord *record = m_memory.find(msg.ref);
-    if (!isBinding && record && id <= record->highest)
+    if (!isBinding && record && id <= record->highestDecided)
         return refuse(from, msg.ref, msg.attempt, TaskRefusal::Tombstone, out);
 
-    removeReservation(msg.ref, now); // bound now, or replaced by a newer attempt
-    m_memory.bury(msg.ref, id, now);
-    if (const auto reason = refusalOf(msg)) {
+    // The reservation is used now, or replaced by a newer attempt.
+    removeReservation(msg.ref, now);
+    m_memory.addTombstone(msg.ref, id, now);
+    if (const auto reason = startRefusal(msg)) {
         refuse(from, msg.ref, msg.attempt, *reason, out);
     } else if (freeSlots() > 0) {
         start(from, msg, now, out);
     } else if (msg.isOfferReply) {
-        // A second reservation under this attempt could be started by a late copy of the answer.
+        // No new reservation: it would have the same attempt number, so a late copy of this message
+        // could start it.
         refuse(from, msg.ref, msg.attempt, TaskRefusal::Tombstone, out);
     } else {
         m_queue.add({msg.ref, id, from, msg.team, msg.jobClass, now + msg.remaining});
@@ -208,9 +215,10 @@
     offerSlots(now, out);
 }
 
-// Answers for a task that has started already (rule R4). A non-idempotent task never gets another
-// attempt, except after the upstream's proof that it did not start.
-bool TaskExecutor::answerStarted(Incarnation from, const StartTask &msg, Outbox &out)
+// If the task has started already, replies with its state and returns true (rule R4). A task of a
+// job that is not idempotent gets another attempt only if the upstream has proved that the earlier
+// one did not start.
+bool TaskExecutor::replyIfStarted(Incarnation from, const StartTask &msg, Outbox &out)
 {
     TaskRecord *record = m_memory.find(msg.ref);
     if (!record)
@@ -226,7 +234,8 @@
     return true;
 }
 
-std::optional<TaskRefusal> TaskExecutor::refusalOf(const StartTask &msg) const
+// Why the task cannot start here; no value if it can, or if it can wait for a slot.
+std::optional<TaskRefusal> TaskExecutor::startRefusal(const StartTask &msg) const
 {
     const auto &upstream = m_upstreams.current();
     if (m_isDraining)
@@ -263,7 +272,8 @@
     run.chargedUntil = now + StartCharge;
     m_queue.charge(run.jobClass, run.team, StartCharge, m_ledger.fleetConfig());
     m_running.emplace(RunKey{msg.ref, msg.attempt}, upstream.incarnation);
-    // The upstream may stop the task at its deadline, because nobody waits for the result then.
+    // The lease ends at the deadline: the upstream may stop the task then, because nobody waits for
+    // its result any longer.
     out.add(StartOnUpstream{msg.ref, msg.attempt, msg.task.payload, msg.task.id, upstream.address,
                             upstream.incarnation, msg.remaining, run.span});
     m_memory.addRun(msg, std::move(run), now);
@@ -277,7 +287,7 @@
     TaskRun *run = findRun(key);
     if (result.status == TaskStatus::Completed || result.status == TaskStatus::Failed) {
         const double sample = result.status == TaskStatus::Failed ? 1 : 0;
-        m_failureRate += NewestShare * (sample - m_failureRate);
+        m_failureRate += NewestResultWeight * (sample - m_failureRate);
     }
     out.add(EmitSpan{"task.run",
                      run->span,
@@ -289,7 +299,7 @@
                       {"attempt", std::to_string(key.attempt)},
                       {"status", std::string(nameOf(result.status))}}});
     m_memory.storeResult(key.ref, *run, std::move(result), now);
-    run->repeatAfter = FirstDoneRepeat;
+    run->resendInterval = FirstResultResendInterval;
     sendDone(key, *run, now, out);
 }
 
@@ -297,9 +307,9 @@
 {
     if (isReachable(run.home))
         out.send(run.home, TaskDone{key.ref, key.attempt, run.result});
-    run.repeatAt = now + run.repeatAfter;
-    run.repeatAfter = std::min(2 * run.repeatAfter, LongestDoneRepeat);
-    m_repeats.emplace(run.repeatAt, key);
+    run.resendAt = now + run.resendInterval;
+    run.resendInterval = std::min(2 * run.resendInterval, MaxResultResendInterval);
+    m_resends.emplace(run.resendAt, key);
 }
 
 void TaskExecutor::stop(const TaskRef &ref, const TaskRun &run, Outbox &out) const
@@ -315,7 +325,8 @@
         out.send(to, TaskDone{ref, run.id.attempt, run.result});
 }
 
-void TaskExecutor::loseRunning(TimePoint now, Outbox &out)
+// Ends the tasks of an upstream that was replaced or whose lease has expired, with result Unknown.
+void TaskExecutor::endLostRuns(TimePoint now, Outbox &out)
 {
     std::vector<RunKey> lost;
     for (const auto &[key, incarnation] : m_running) {
@@ -344,13 +355,14 @@
         reportState(from, msg.ref, *run, out);
         return;
     }
-    // The fence refuses a start by a stale home anyway; its cancel must not touch newer attempts.
+    // The starts of a home with a stale epoch are refused, so the reply holds without a tombstone.
+    // Its cancellation must not affect the attempts of the new home.
     if (!isStale) {
         const AttemptId id{msg.epoch, msg.attempt};
         const Reservation *held = findReservation(msg.ref);
         if (held && held->id <= id)
             removeReservation(msg.ref, now);
-        m_memory.bury(msg.ref, id, now);
+        m_memory.addTombstone(msg.ref, id, now);
     }
     out.send(from, TaskNotStarted{msg.ref, msg.attempt});
     offerSlots(now, out);
@@ -363,7 +375,7 @@
     if (!run || run->isRunning)
         return;
     run->isAcknowledged = true;
-    m_repeats.erase({run->repeatAt, key});
+    m_resends.erase({run->resendAt, key});
 }
 
 void TaskExecutor::onOfferDeclined(const OfferDeclined &msg, TimePoint now, Outbox &out)
@@ -378,10 +390,10 @@
 void TaskExecutor::onRaise(const Raise &msg, TimePoint now, Outbox &out)
 {
     for (const ShardClaim &it : msg.claims) {
-        Epoch &raised = m_raised[it.shard.value];
+        Epoch &raised = m_raisedEpochs[it.shard.value];
         raised = std::max(raised, it.epoch);
     }
-    removeBelowFence(now);
+    removeStaleReservations(now);
     offerSlots(now, out);
 }
 
@@ -391,7 +403,8 @@
     return offer != m_offers.end() ? &offer->second.reservation : m_queue.find(ref);
 }
 
-// Leaves a tombstone. An offered slot is free again.
+// Removes the reservation of the task, if there is one, and leaves a tombstone for its attempt. A
+// slot that was offered to it becomes free.
 std::optional<Reservation> TaskExecutor::removeReservation(const TaskRef &ref, TimePoint now)
 {
     std::optional<Reservation> removed = m_queue.remove(ref);
@@ -400,7 +413,7 @@
         m_queue.charge(removed->jobClass, removed->team, -StartCharge, m_ledger.fleetConfig());
     }
     if (removed)
-        m_memory.bury(ref, removed->id, now);
+        m_memory.addTombstone(ref, removed->id, now);
     return removed;
 }
 
@@ -411,12 +424,12 @@
         refused.push_back(std::move(offer.reservation));
     m_offers.clear();
     for (const Reservation &it : refused) {
-        m_memory.bury(it.ref, it.id, now);
+        m_memory.addTombstone(it.ref, it.id, now);
         refuse(it.home, it.ref, it.id.attempt, reason, out);
     }
 }
 
-void TaskExecutor::removeBelowFence(TimePoint now)
+void TaskExecutor::removeStaleReservations(TimePoint now)
 {
     std::vector<TaskRef> refs = m_queue.refs();
     for (const auto &[ref, offer] : m_offers)
@@ -427,27 +440,29 @@
     }
 }
 
+// Offers every free slot to a reservation.
 void TaskExecutor::offerSlots(TimePoint now, Outbox &out)
 {
     if (m_queue.size() == 0 || freeSlots() == 0)
         return;
     chargeRunning(now);
-    const auto mayOffer
-        = [&](Incarnation home) { return !m_silentHomes.contains(home) && isReachable(home); };
+    const auto canOffer = [&](Incarnation home) {
+        return !m_unresponsiveHomes.contains(home) && isReachable(home);
+    };
     while (freeSlots() > 0) {
-        std::optional<Reservation> best = m_queue.takeBest(mayOffer);
+        std::optional<Reservation> best = m_queue.takeBest(canOffer);
         if (!best)
             return;
         m_queue.charge(best->jobClass, best->team, StartCharge, m_ledger.fleetConfig());
         out.send(best->home, SlotOffer{best->ref, best->id.attempt});
         const TaskRef ref = best->ref;
-        m_offers.emplace(ref, Offer{std::move(*best), now + OfferWait});
+        m_offers.emplace(ref, Offer{std::move(*best), now + OfferTimeout});
     }
 }
 
-// An offer without an answer is repeated once. Then the reservation waits again, so that a home
-// behind a silent connection keeps its place, and the slot goes to the next home.
-void TaskExecutor::handleDueOffers(TimePoint now, Outbox &out)
+// Repeats an unanswered offer once. After that the slot goes to the next home, and the reservation
+// returns to the queue, so that a home with a broken connection does not lose it.
+void TaskExecutor::handleOverdueOffers(TimePoint now, Outbox &out)
 {
     std::vector<TaskRef> unanswered;
     for (auto &[ref, offer] : m_offers) {
@@ -458,26 +473,27 @@
             continue;
         }
         offer.isRepeated = true;
-        offer.due = now + OfferWait;
+        offer.due = now + OfferTimeout;
         out.send(offer.reservation.home, SlotOffer{ref, offer.reservation.id.attempt});
     }
     for (const TaskRef &ref : unanswered) {
         Reservation reservation = *removeReservation(ref, now);
-        m_silentHomes[reservation.home] = now + SilentHomePause;
+        m_unresponsiveHomes[reservation.home] = now + UnresponsiveHomePause;
         if (reservation.deadline > now)
             m_queue.add(std::move(reservation));
     }
 }
 
-void TaskExecutor::repeatDone(TimePoint now, Outbox &out)
+void TaskExecutor::resendDueResults(TimePoint now, Outbox &out)
 {
-    while (!m_repeats.empty() && m_repeats.begin()->first <= now) {
-        const RunKey key = m_repeats.extract(m_repeats.begin()).value().second;
-        if (TaskRun *run = findRun(key)) // not forgotten meanwhile
+    while (!m_resends.empty() && m_resends.begin()->first <= now) {
+        const RunKey key = m_resends.extract(m_resends.begin()).value().second;
+        if (TaskRun *run = findRun(key)) // absent if the job has expired from m_memory
             sendDone(key, *run, now, out);
     }
 }
 
+// Charges the slot time that running tasks have used since the last charge.
 void TaskExecutor::chargeRunning(TimePoint now)
 {
     for (const auto &[key, incarnation] : m_running) {
@@ -498,9 +514,11 @@
 bool TaskExecutor::isReachable(Incarnation home) const
 {
     const MemberState *member = m_ledger.member(home);
-    return !member || member->isUp(); // an unknown one has registered after the ledger copy's end
+    // An unknown home has registered, but this copy of the ledger does not show it yet.
+    return !member || member->isUp();
 }
 
+// The announced slots within the configured limits; 0 without an upstream.
 std::uint32_t TaskExecutor::slotLimit() const
 {
     const auto &upstream = m_upstreams.current();
@@ -511,12 +529,13 @@
     const FleetConfig &config = m_ledger.fleetConfig();
     const auto limits = config.upstreams.find(upstream->upstream);
     if (limits != config.upstreams.end()) {
-        slots = limitedBy(slots, limits->second.slotsPerWorker);
-        connections = limitedBy(connections, limits->second.connectionsPerWorker);
+        slots = applyLimit(slots, limits->second.slotsPerWorker);
+        connections = applyLimit(connections, limits->second.connectionsPerWorker);
     }
-    return std::min(slots, connections); // each run holds a connection of its own
+    return std::min(slots, connections); // each running task uses its own connection (rule R10)
 }
 
+// Slots that are neither in use nor offered; 0 while draining.
 std::uint32_t TaskExecutor::freeSlots() const
 {
     const auto &upstream = m_upstreams.current();
--- a/src/upstreamregistry.cpp
+++ b/src/upstreamregistry.cpp
@@ -1,4 +1,4 @@
-// Announcement, lease and leave of the upstream beside the agent.
+// Handles announcement, lease and leave of the upstream.
 
 #include "upstreamregistry.h"
 
@@ -8,15 +8,15 @@
 
 namespace {
 
-// Late announcements come from the last few predecessors only.
-constexpr std::size_t RetiredLimit = 16;
+// Limit for the remembered incarnations. Late announcements come only from the newest of them.
+constexpr std::size_t MaxPastIncarnations = 16;
 
 } // namespace
 
 UpstreamRegistry::Change UpstreamRegistry::announce(const UpstreamAnnouncement &announcement,
                                                     TimePoint now)
 {
-    if (isRetired(announcement.incarnation))
+    if (isPastIncarnation(announcement.incarnation))
         return Change::None;
     Change change = Change::None;
     if (!m_current) {
@@ -26,7 +26,7 @@
                || m_current->upstream != announcement.upstream) {
         change = Change::Replaced;
         if (m_current->incarnation != announcement.incarnation)
-            retire(m_current->incarnation);
+            addPastIncarnation(m_current->incarnation);
     }
     m_current = announcement;
     m_leaseEnd = now + announcement.lease;
@@ -37,7 +37,7 @@
 {
     if (!m_current || (!incarnation.empty() && incarnation != m_current->incarnation))
         return Change::None;
-    retire(m_current->incarnation);
+    addPastIncarnation(m_current->incarnation);
     m_current.reset();
     m_leaseEnd = NeverTime;
     return Change::Left;
@@ -47,10 +47,10 @@
 {
     if (!m_current || now < m_leaseEnd)
         return Change::None;
-    // Not retired: a paused upstream may announce itself again under the same incarnation.
+    // The incarnation may return: an upstream that was paused announces itself again.
     m_current.reset();
     m_leaseEnd = NeverTime;
-    return Change::Lapsed;
+    return Change::LeaseExpired;
 }
 
 TimePoint UpstreamRegistry::nextTimer() const
@@ -58,16 +58,17 @@
     return m_leaseEnd;
 }
 
-bool UpstreamRegistry::isRetired(std::string_view incarnation) const
+bool UpstreamRegistry::isPastIncarnation(std::string_view incarnation) const
 {
-    return std::find(m_retired.begin(), m_retired.end(), incarnation) != m_retired.end();
+    return std::find(m_pastIncarnations.begin(), m_pastIncarnations.end(), incarnation)
+           != m_pastIncarnations.end();
 }
 
-void UpstreamRegistry::retire(const std::string &incarnation)
+void UpstreamRegistry::addPastIncarnation(const std::string &incarnation)
 {
-    m_retired.push_back(incarnation);
-    if (m_retired.size() > RetiredLimit)
-        m_retired.pop_front();
+    m_pastIncarnations.push_back(incarnation);
+    if (m_pastIncarnations.size() > MaxPastIncarnations)
+        m_pastIncarnations.pop_front();
 }
 
 } // namespace cactuscove
--- a/tests/taskexecutor_test.cpp
+++ b/tests/taskexecutor_test.cpp
@@ -1,5 +1,6 @@
-// The executor's promises (rules R2, R4, R6): what started is never started again, and what it said
-// it would not start never starts.
+// Tests of TaskExecutor, and of the StartMemory, ReservationQueue and UpstreamRegistry that it
+// uses. Its main rules are: requests with a stale epoch are refused (R2), a started task is never
+// started again (R4), and an attempt that was reported as not started never starts (R6).
 
 #include "taskexecutor.h"
 
@@ -17,6 +18,8 @@
 constexpr Incarnation Self{5}, Home1{11}, Home2{12};
 const TaskRef Task1{{"bookings/j1"}, 0}, Task2{{"bookings/j2"}, 0}, Task3{{"bookings/j3"}, 0};
 
+// An executor that is registered in its ledger together with two homes, beside an upstream with one
+// slot.
 class Executor
 {
 public:
@@ -56,7 +59,7 @@
         return it;
     }
 
-    // Sends to the executor and returns what it asks for.
+    // Delivers a message to the executor and returns the effects of it.
     std::vector<Effect> send(Message message, Incarnation from = Home1)
     {
         out.take();
@@ -72,6 +75,7 @@
         return out.take();
     }
 
+    // Advances the time, with a call at every timer, and returns the effects.
     std::vector<Effect> wait(Duration duration)
     {
         out.take();
@@ -118,7 +122,8 @@
     return found.at(0).reason;
 }
 
-// A home that repeats its request must not start the task twice (R4).
+// Guards against a second start when a home repeats its request: a started task is not started
+// again (R4).
 TEST(TaskExecutor, RepeatedStartIsAnsweredWithoutAnotherStart)
 {
     Executor it;
@@ -132,7 +137,8 @@
     EXPECT_EQ(sent<TaskDone>(afterwards).at(0).result.body, "ok");
 }
 
-// Only idempotent tasks may run again (R9), and the upstream's proof allows a new placement.
+// Guards against a second run of a task that is not idempotent (R9: only idempotent tasks may run
+// again), and against losing a task that the upstream has proved not to have started.
 TEST(TaskExecutor, AnotherAttemptStartsOnlyIfIdempotentOrProvedNotStarted)
 {
     Executor it;
@@ -155,7 +161,8 @@
     EXPECT_EQ(starts(it.send(it.startOf(Task3, 2))), 1U);
 }
 
-// The home was told "not started" and placed the task elsewhere; the late start must not run (R6).
+// Guards against two runs of one task: after "not started" the home places the task elsewhere, so a
+// late start of the cancelled attempt must be refused (R6).
 TEST(TaskExecutor, StartThatWasOvertakenByItsCancelIsRefused)
 {
     Executor it;
@@ -164,7 +171,8 @@
     EXPECT_EQ(starts(it.send(it.startOf(Task1, 2))), 1U);
 }
 
-// A refusal is a proof, so a copy that arrives when the reason has gone must not start the task.
+// Guards against two runs of one task: the home relies on a refusal and places the task elsewhere,
+// so a copy of the request must be refused even when the reason no longer applies.
 TEST(TaskExecutor, RefusedAttemptStaysRefused)
 {
     Executor it;
@@ -174,6 +182,7 @@
     EXPECT_EQ(refusal(it.send(it.startOf(Task1))), TaskRefusal::Tombstone);
 }
 
+// Guards against starts after the deadline, on too small an upstream, and while draining.
 TEST(TaskExecutor, RefusesWhatMustNotStartHere)
 {
     Executor it;
@@ -187,7 +196,8 @@
     EXPECT_EQ(refusal(it.send(it.startOf(Task3))), TaskRefusal::Draining);
 }
 
-// A process whose registration is not in its ledger is not asked by new homes (R5).
+// Guards against started tasks that no new home learns of: new homes ask only the processes that
+// have registered (R5).
 TEST(TaskExecutor, StartsNothingBeforeItsOwnRegistration)
 {
     Executor it;
@@ -196,7 +206,8 @@
     EXPECT_EQ(starts(it.out.take()), 0U);
 }
 
-// A fenced home that was paused must not start anything, nor stop what runs (R2).
+// Guards against a home that was paused and replaced: with its stale epoch it must neither start
+// tasks nor stop running ones (R2).
 TEST(TaskExecutor, FenceRefusesLowerEpochs)
 {
     Executor it;
@@ -213,7 +224,8 @@
     EXPECT_EQ(refusal(it.send(it.startOf(Task3))), TaskRefusal::StaleEpoch);
 }
 
-// A queued task counts as not started for the new home, so it must never start (R4).
+// Guards against two runs of one task: the new home counts a waiting task as not started, so the
+// reservation must end without a start (R4).
 TEST(TaskExecutor, RaiseRemovesReservationsOfLowerEpochs)
 {
     Executor it;
@@ -227,6 +239,7 @@
     EXPECT_EQ(refusal(it.send(binding)), TaskRefusal::StaleEpoch);
 }
 
+// Guards against a new home that starts a job again because it was not told of its started tasks.
 TEST(TaskExecutor, WitnessTellsRunningAndFinishedTasksOfLowerEpochs)
 {
     Executor it;
@@ -244,10 +257,11 @@
     EXPECT_EQ(seen.tasks.at(0).id, "t0");
     EXPECT_EQ(seen.contentHash, 7U);
     EXPECT_EQ(seen.taskCount, 3U);
-    EXPECT_EQ(it.executor.memory(it.now).at(0).epoch, Epoch{1});
+    EXPECT_EQ(it.executor.rememberedStarts(it.now).at(0).epoch, Epoch{1});
 }
 
-// The home may have bound the task to its other reservation when a copy of the first request comes.
+// Guards against two runs of one task: when a late copy of the first request arrives, the home may
+// have placed the task through its reservation at another agent.
 TEST(TaskExecutor, AfterBusyOnlyTheAnswerToAnOfferStarts)
 {
     Executor it;
@@ -261,8 +275,8 @@
     EXPECT_EQ(starts(it.send(binding)), 0U);
 }
 
-// A late answer that finds the slot taken must not leave a reservation that its own copy could
-// start: the home has been told that the attempt ended.
+// Guards against two runs of one task: an answer to an offer that finds no free slot is refused. If
+// it left a reservation as well, a copy of the answer could start the task after the refusal.
 TEST(TaskExecutor, OfferAnswerWithoutAFreeSlotEndsTheAttempt)
 {
     Executor it;
@@ -275,7 +289,8 @@
     EXPECT_EQ(starts(it.send(binding)), 0U);
 }
 
-// A home behind a silent connection must not hold the slot, nor lose its reservation.
+// Guards against an idle slot while a home with a broken connection does not answer an offer, and
+// against the loss of the reservation of that home.
 TEST(TaskExecutor, UnansweredOfferIsRepeatedOnceThenTheNextIsOffered)
 {
     Executor it;
@@ -291,6 +306,7 @@
     EXPECT_EQ(sent<SlotOffer>(it.wait(2s)).at(0).ref, Task2);
 }
 
+// Guards against offers and starts after the deadline of a reservation.
 TEST(TaskExecutor, ReservationEndsAtItsDeadline)
 {
     Executor it;
@@ -304,7 +320,8 @@
     EXPECT_EQ(refusal(it.send(brief)), TaskRefusal::Tombstone);
 }
 
-// Tasks of another run of the upstream are lost, and a late answer of it proves nothing.
+// Guards against waiting for tasks of an upstream process that was replaced, and against trusting a
+// late result of it.
 TEST(TaskExecutor, UpstreamReplacedAtTheSameAddressLosesItsTasks)
 {
     Executor it;
@@ -318,12 +335,13 @@
     EXPECT_EQ(sent<TaskDone>(it.send(it.startOf(Task1))).at(0).result.status, TaskStatus::Unknown);
     const auto next = it.send(it.startOf(Task2));
     EXPECT_EQ(std::get<StartOnUpstream>(next.at(0)).upstreamIncarnation, "u2");
-    // A late repeat of the old announcement must not bring the old run back.
+    // A late repeat of the old announcement must not restore the old incarnation.
     it.announce(1, "u1");
     EXPECT_EQ(it.upstreams.current()->incarnation, "u2");
 }
 
-// A leaving upstream finishes its work; one whose lease lapsed may be dead.
+// Guards against losing the results of an upstream that leaves, which still finishes its tasks, and
+// against waiting for those of an upstream whose lease has expired, which may have crashed.
 TEST(TaskExecutor, LeaveKeepsRunningTasksAndLapseLosesThem)
 {
     Executor it;
@@ -335,12 +353,13 @@
     it.send(it.startOf(Task2));
     it.now += 600s;
     const Change change = it.upstreams.onTimer(it.now);
-    EXPECT_EQ(change, Change::Lapsed);
+    EXPECT_EQ(change, Change::LeaseExpired);
     it.executor.onUpstreamChange(change, it.now, it.out);
     EXPECT_EQ(sent<TaskDone>(it.out.take()).at(0).result.status, TaskStatus::Unknown);
 }
 
-// The leave of a replaced upstream may arrive after the announcement of its successor.
+// Guards against removing the current upstream: the leave of a replaced one may arrive after the
+// announcement of its successor.
 TEST(UpstreamRegistry, LateLeaveOfAnotherIncarnationIsIgnored)
 {
     Executor it;
@@ -352,6 +371,7 @@
     EXPECT_FALSE(it.upstreams.current());
 }
 
+// Guards against a cancelled task that goes on using its slot.
 TEST(TaskExecutor, CancelStopsARunningTask)
 {
     Executor it;
@@ -361,7 +381,8 @@
     EXPECT_EQ(sent<TaskAccepted>(effects).size(), 1U);
 }
 
-// A lost TaskDone would leave the job waiting; repeats without back-off would waste messages.
+// Guards against a job that waits forever because a TaskDone was lost, and against repeats at a
+// constant rate while the home is unreachable.
 TEST(TaskExecutor, ResultIsRepeatedWithBackOffUntilAcknowledged)
 {
     Executor it;
@@ -374,6 +395,7 @@
     EXPECT_EQ(sent<TaskDone>(it.wait(60s)).size(), 0U);
 }
 
+// Guards against a shutdown that waits for the acknowledgement of a home that has left.
 TEST(TaskExecutor, ShutdownDoesNotWaitForAHomeThatIsGone)
 {
     Executor it;
@@ -383,7 +405,8 @@
     EXPECT_TRUE(it.executor.isIdle());
 }
 
-// Results stay for id_memory after the end and not much longer, else memory grows without bound.
+// Guards against results that are dropped before id_memory has passed since the end of the task,
+// and against records that are kept much longer, so that memory grows without limit.
 TEST(TaskExecutor, ForgetsAfterIdMemory)
 {
     Executor it;
@@ -392,11 +415,12 @@
     it.finish(Task1);
     it.send(TaskDoneAck{Task1, 1});
     it.wait(599s);
-    EXPECT_EQ(it.executor.memory(it.now).size(), 1U);
+    EXPECT_EQ(it.executor.rememberedStarts(it.now).size(), 1U);
     it.wait(3s);
-    EXPECT_TRUE(it.executor.memory(it.now).empty());
+    EXPECT_TRUE(it.executor.rememberedStarts(it.now).empty());
 }
 
+// Guards against result bodies that use more memory than the limit.
 TEST(StartMemory, OldestResultsBecomeUnknownBeyondTheByteLimit)
 {
     StartMemory memory(100);
@@ -410,6 +434,7 @@
     EXPECT_EQ(memory.find(Task2)->runs.at(0).result.status, TaskStatus::Completed);
 }
 
+// Guards against more tasks at once than the upstream announces or the configuration allows.
 TEST(TaskExecutor, SlotsAreLimitedByAnnouncementAndConfiguration)
 {
     Executor it;
@@ -424,8 +449,8 @@
     EXPECT_EQ(it.executor.load().slots, 2U);
 }
 
-// A flooding class must not take the slots of the others: slot time follows the shares, although
-// the flood's tasks run longer.
+// Guards against a class that takes the slots of the others with many long tasks: slot time must
+// follow the shares.
 TEST(ReservationQueue, SlotTimeFollowsShares)
 {
     FleetConfig config;
@@ -451,29 +476,32 @@
     EXPECT_NEAR(static_cast<double>(used["urgent"] / 1ms) / (used["bulk"] / 1ms), 3, 0.1);
 }
 
+// What the homes have been told, to check later starts against.
 struct Model
 {
-    using Placing = std::tuple<TaskRef, std::uint32_t, Epoch>;
-    std::set<Placing> excluded; // told that it did not start; each epoch counts attempts anew
+    using Attempt = std::tuple<TaskRef, std::uint32_t, Epoch>;
+    // Attempts that a home was told have not started. Each epoch numbers its attempts itself.
+    std::set<Attempt> notStarted;
     std::set<TaskRef> started;
 
-    // `epoch` is that of the message that the effects answer.
+    // `epoch` is the epoch of the message that led to `effects`.
     void check(const std::vector<Effect> &effects, Epoch epoch = {})
     {
         for (const Effect &effect : effects) {
             if (const auto *start = std::get_if<StartOnUpstream>(&effect)) {
-                RC_ASSERT(!excluded.contains({start->ref, start->attempt, epoch}));
+                RC_ASSERT(!notStarted.contains({start->ref, start->attempt, epoch}));
                 RC_ASSERT(started.insert(start->ref).second);
             }
         }
         for (const auto &it : sent<TaskRefused>(effects))
-            excluded.emplace(it.ref, it.attempt, epoch);
+            notStarted.emplace(it.ref, it.attempt, epoch);
         for (const auto &it : sent<TaskNotStarted>(effects))
-            excluded.emplace(it.ref, it.attempt, epoch);
+            notStarted.emplace(it.ref, it.attempt, epoch);
     }
 };
 
-// Any order, loss and repetition of messages, and any change of the upstream.
+// Guards against a second start of a task, and against a start that a home was told will not
+// happen, with any order, loss and repetition of messages and any change of the upstream.
 RC_GTEST_PROP(TaskExecutorProperty, KeepsItsWordInAnyOrder, ())
 {
     Executor it;
