--- a/src/retrybudget.cpp
+++ b/src/retrybudget.cpp
@@ -1,4 +1,4 @@
-// Token arithmetic of the retry budget.
+// Implements the token bucket of the retry budget.
 
 #include "retrybudget.h"
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Ten times 0.1 falls short of 1 by rounding.
-constexpr double Rounding = 1e-9;
+// Tolerance for a whole token, because a sum of ten times 0.1 is less than 1 by rounding.
+constexpr double RoundingTolerance = 1e-9;
 
 } // namespace
 
@@ -18,7 +18,7 @@
     return {std::max(0.0, perSuccess), std::max(1.0, burst)};
 }
 
-// Starts empty: with initial tokens, processes that restart during a storm would bring new retries.
+// Starts empty: with initial tokens, processes that restart during an overload would add retries.
 RetryBudget::RetryBudget(double perSuccess, double burst)
     : m_perSuccess(perSuccess)
     , m_burst(burst)
@@ -32,7 +32,7 @@
 
 bool RetryBudget::trySpend()
 {
-    if (m_tokens < 1 - Rounding)
+    if (m_tokens < 1 - RoundingTolerance)
         return false;
     m_tokens = std::max(0.0, m_tokens - 1);
     return true;
--- a/src/retrybudget.h
+++ b/src/retrybudget.h
@@ -1,4 +1,4 @@
-// Limits retries and hedges in proportion to successes, so that failures cannot multiply load.
+// Limits retries in proportion to successes, so that failures cannot multiply the load.
 
 #pragma once
 
@@ -6,14 +6,17 @@
 
 namespace cactuscove {
 
+// A token bucket: each success adds a part of a token, each retry spends a whole one. A home keeps
+// one for each upstream and asks it before it starts a failed idempotent task again.
 class RetryBudget
 {
 public:
-    // `perSuccess` tokens are earned by each success, up to `burst` tokens.
+    // Each success adds `perSuccess` tokens (at least 0); the bucket holds `burst` tokens (at least
+    // 1) and starts empty.
     static RetryBudget create(double perSuccess, double burst);
 
     void success();
-    bool trySpend(); // spends one token if there is one
+    bool trySpend(); // spends a token if there is one; false means that no retry is allowed now
 
     double tokens() const { return m_tokens; }
 
--- a/src/workerhealth.cpp
+++ b/src/workerhealth.cpp
@@ -1,4 +1,4 @@
-// Failure rates, ejection and probing.
+// Implements failure rates, ejection and probing.
 
 #include "workerhealth.h"
 
@@ -10,20 +10,23 @@
 
 using std::chrono::seconds;
 
-// Weight of the newest result. Four failures in a row pass the default threshold of 0.5; a worker
-// with 5% independent failures has such a row once in 160,000 tasks.
-constexpr double NewestShare = 0.2;
+// Weight of the newest result in the failure rate. Four failures in a row exceed the default
+// threshold of 0.5; a worker whose tasks fail independently at 5% has four in a row once in 160,000
+// tasks.
+constexpr double NewestResultWeight = 0.2;
 
-// A worker returns when its rate falls below this part of the threshold, which takes four probes
-// in a row from a rate of 0.59; the gap keeps it from being ejected again by one failure.
-constexpr double ReturnPart = 0.5;
+// A worker returns when its failure rate falls below this part of the threshold. From a rate of
+// 0.59 that takes four successful probes in a row. The hysteresis keeps a single failure from
+// ejecting it again.
+constexpr double ReturnThresholdFactor = 0.5;
 
-// 11 homes probe independently. With 15 s between the probes of one home, they start 0.7 tasks/s on
-// the worker, below 1% of the starts of a fleet of 88 slots at 50% load (about 90/s).
+// Homes probe independently of each other. With 15 s between the probes of one home, 11 homes start
+// 0.7 tasks/s on the worker, which is below 1% of the starts of a fleet of 88 slots at 50% load
+// (about 90/s).
 constexpr Duration FirstProbeInterval = seconds(15);
 constexpr Duration MaxProbeInterval = seconds(60);
 
-// Agents that fail often but may not be ejected keep this weight.
+// Least weight of an agent whose tasks fail often but that is not ejected.
 constexpr double MinWeight = 0.05;
 
 } // namespace
@@ -52,13 +55,13 @@
     if (it == m_agents.end())
         return;
     State &state = it->second;
-    state.failureRate *= 1 - NewestShare;
+    state.failureRate *= 1 - NewestResultWeight;
     if (!state.ejected)
         return;
-    state.probing = false;
+    state.isProbeInFlight = false;
     state.probeInterval = FirstProbeInterval;
-    state.nextProbe = now; // go on probing at once
-    if (state.failureRate < limitsOf(state.upstream).ejectionThreshold * ReturnPart)
+    state.nextProbe = now; // the next probe follows a successful one at once
+    if (state.failureRate < limitsOf(state.upstream).ejectionThreshold * ReturnThresholdFactor)
         state.ejected = false;
 }
 
@@ -69,17 +72,18 @@
         return;
     State &state = it->second;
     if (state.ejected) {
-        // Late failures of tasks started before the ejection do not count as probes, and the rate
-        // stays where it was so that a recovered worker returns after a few probes.
-        if (state.probing || now >= state.nextProbe) {
-            state.probing = false;
+        // Late failures of tasks that started before the ejection do not count as failed probes.
+        // The failure rate does not rise further, so that a recovered worker returns after a few
+        // probes.
+        if (state.isProbeInFlight || now >= state.nextProbe) {
+            state.isProbeInFlight = false;
             state.probeInterval = std::min(state.probeInterval * 2, MaxProbeInterval);
             state.nextProbe = now + state.probeInterval;
         }
         return;
     }
-    state.failureRate += NewestShare * (1 - state.failureRate);
-    eject(state, now);
+    state.failureRate += NewestResultWeight * (1 - state.failureRate);
+    ejectIfUnhealthy(state, now);
 }
 
 void WorkerHealth::reported(Incarnation agent, double failureRate, TimePoint now)
@@ -89,15 +93,16 @@
         return;
     const double own = it->second.failureRate;
     it->second.failureRate = std::max(own, failureRate);
-    eject(it->second, now);
+    ejectIfUnhealthy(it->second, now);
     if (!it->second.ejected)
         it->second.failureRate = own;
 }
 
-void WorkerHealth::eject(State &state, TimePoint now) const
+// Ejects the worker if its failure rate exceeds the threshold and the limit allows it.
+void WorkerHealth::ejectIfUnhealthy(State &state, TimePoint now) const
 {
     if (state.failureRate <= limitsOf(state.upstream).ejectionThreshold
-        || !mayEjectOneMore(state.upstream))
+        || !canEjectAnother(state.upstream))
         return;
     state.ejected = true;
     state.probeInterval = FirstProbeInterval;
@@ -109,8 +114,8 @@
     const auto it = m_agents.find(agent);
     if (it == m_agents.end() || !it->second.ejected)
         return;
-    it->second.probing = true;
-    it->second.nextProbe = now + it->second.probeInterval; // in case its result never comes
+    it->second.isProbeInFlight = true;
+    it->second.nextProbe = now + it->second.probeInterval; // if no result arrives until then
 }
 
 double WorkerHealth::weight(Incarnation agent, TimePoint) const
@@ -143,7 +148,7 @@
     return it == m_limits.end() ? defaults : it->second;
 }
 
-bool WorkerHealth::mayEjectOneMore(const std::string &upstream) const
+bool WorkerHealth::canEjectAnother(const std::string &upstream) const
 {
     std::size_t total = 0;
     std::size_t ejected = 0;
--- a/tests/workerhealth_test.cpp
+++ b/tests/workerhealth_test.cpp
@@ -1,4 +1,4 @@
-// Ejection of failing workers, probes, and the retry budget.
+// Tests of WorkerHealth (ejection of failing workers and probes) and of RetryBudget.
 
 #include "retrybudget.h"
 #include "workerhealth.h"
@@ -39,8 +39,9 @@
     WorkerHealth health;
 };
 
-// Guards against a worker that fails everything and so always looks free. 11 homes that each need
-// four failures, with probes after that, stay below 1% of the starts only if few probes follow.
+// Guards against sending most tasks to a worker whose tasks all fail at once, so that it always has
+// free slots. Each of the 11 homes loses four tasks before it ejects the worker; the probes of all
+// homes after that must stay below 1% of all starts.
 TEST_F(WorkerHealthTest, WorkerThatFailsEverythingGetsOnlyProbes)
 {
     fail(1, 4);
@@ -61,8 +62,8 @@
     EXPECT_LE(probes, 4);
 }
 
-// Guards against every home losing tasks of its own to a worker that others know to fail, and
-// against reports that eject more than the limit.
+// Guards against every home losing its own tasks to a failing worker before it ejects it, and
+// against reported failure rates that eject more workers than the limit.
 TEST_F(WorkerHealthTest, ReportedFailureRateEjectsWithoutOwnFailures)
 {
     health.reported(Incarnation{1}, 0.4, now);
@@ -73,7 +74,7 @@
     EXPECT_EQ(ejected(), 5);
 }
 
-// Guards against a recovered worker that stays away.
+// Guards against a worker that has recovered but stays ejected.
 TEST_F(WorkerHealthTest, SuccessfulProbesBringAWorkerBack)
 {
     fail(1, 4);
@@ -87,7 +88,7 @@
     EXPECT_GT(health.weight(Incarnation{1}, now), 0.5);
 }
 
-// Guards against ejecting the whole fleet when the fault is not the workers' own.
+// Guards against ejecting all workers when the cause of the failures is elsewhere.
 TEST_F(WorkerHealthTest, AtMostHalfOfTheWorkersAreEjected)
 {
     for (std::uint64_t i = 1; i <= 11; ++i)
@@ -97,8 +98,8 @@
         EXPECT_EQ(health.weight(Incarnation{i}, now) == 0, health.isEjected(Incarnation{i}, now));
 }
 
-// Guards against losing workers to chance: 5% independent failures must not eject them. A row of
-// four comes once in 160,000 results.
+// Guards against ejecting workers by chance: a failure rate of 5% must not eject a worker. Four
+// independent failures in a row occur once in 160,000 results.
 TEST_F(WorkerHealthTest, FewFailuresOnlyLowerTheWeight)
 {
     for (int i = 0; i < 2000; ++i) {
@@ -114,7 +115,7 @@
 }
 
 // Guards against retry storms: retries never exceed a tenth of the successes, in any order of
-// successes and wishes to retry, also right after a start.
+// successes and retry attempts, also right after the start of the process.
 RC_GTEST_PROP(RetryBudgetProperty, RetriesStayWithinATenthOfSuccesses, ())
 {
     RetryBudget budget = RetryBudget::create(0.1, 10);
@@ -131,7 +132,8 @@
     }
 }
 
-// Guards against a budget that rounding keeps one success short, or that saves up without limit.
+// Guards against a rounding error that makes a retry cost eleven successes, and against a budget
+// that grows beyond the burst.
 TEST(RetryBudget, TenSuccessesEarnOneRetryUpToTheBurst)
 {
     RetryBudget budget = RetryBudget::create(0.1, 2);
