--- a/src/messagecodec.cpp
+++ b/src/messagecodec.cpp
@@ -1,4 +1,4 @@
-// Envelopes as JSON, generated from the field lists of messagefields.h.
+// Encoder and decoder for envelopes, generated from the field lists of messagefields.h.
 
 #include "messagecodec.h"
 
@@ -17,7 +17,7 @@
 namespace {
 
 template <typename T>
-concept Described = requires
+concept HasFieldList = requires
 {
     fieldsOf(Tag<T>{});
 };
@@ -28,15 +28,17 @@
 template <typename T>
 concept Integer = std::integral<T> && !std::same_as<T, bool>;
 
-// Sums with any clock value stay far from the limits of 64 bits.
+// Limit for a received duration. The sum of such a duration and any clock value does not overflow
+// 64 bits.
 constexpr std::int64_t MaxDurationUs = std::int64_t{1} << 53;
 
-// jsoncpp replaces invalid UTF-8 while writing, so such strings travel as {"hex": "..."}.
+// A string that is not valid UTF-8 is sent as {"hex": "..."}, because jsoncpp replaces invalid
+// bytes when it writes.
 constexpr char HexKey[] = "hex";
 constexpr char TypeKey[] = "type";
 constexpr char HexDigits[] = "0123456789abcdef";
 
-std::string hex64(std::uint64_t value)
+std::string toHex64(std::uint64_t value)
 {
     std::string hex(16, '0');
     for (std::size_t i = 16; i-- > 0; value >>= 4)
@@ -50,11 +52,12 @@
     return hex.size() == 16 && ec == std::errc() && end == hex.data() + hex.size();
 }
 
+// Converts each type to JSON by an overload of encode().
 class Encoder
 {
 public:
-    static Json::Value of(bool value) { return value; }
-    static Json::Value of(const std::string &value)
+    static Json::Value encode(bool value) { return value; }
+    static Json::Value encode(const std::string &value)
     {
         if (isUtf8(value))
             return value;
@@ -62,12 +65,15 @@
         json[HexKey] = toHex(value);
         return json;
     }
-    static Json::Value of(Duration value) { return Json::Int64{value.count()}; }
-    static Json::Value of(const JobKey &value) { return of(value.value); }
-    static Json::Value of(const KeyHash &value) { return hex64(value.high) + hex64(value.low); }
+    static Json::Value encode(Duration value) { return Json::Int64{value.count()}; }
+    static Json::Value encode(const JobKey &value) { return encode(value.value); }
+    static Json::Value encode(const KeyHash &value)
+    {
+        return toHex64(value.high) + toHex64(value.low);
+    }
 
     template <Integer T>
-    static Json::Value of(T value)
+    static Json::Value encode(T value)
     {
         if constexpr (std::is_signed_v<T>)
             return Json::Int64{value};
@@ -76,59 +82,62 @@
     }
 
     template <Enumeration T>
-    static Json::Value of(T value)
+    static Json::Value encode(T value)
     {
         return static_cast<int>(value);
     }
 
     template <typename Tag, typename Rep>
-    static Json::Value of(const StrongId<Tag, Rep> &value)
+    static Json::Value encode(const StrongId<Tag, Rep> &value)
     {
-        return of(value.value);
+        return encode(value.value);
     }
 
     template <typename T>
-    static Json::Value of(const std::optional<T> &value)
+    static Json::Value encode(const std::optional<T> &value)
     {
-        return value ? of(*value) : Json::Value();
+        return value ? encode(*value) : Json::Value();
     }
 
     template <typename T>
-    static Json::Value of(const std::vector<T> &values)
+    static Json::Value encode(const std::vector<T> &values)
     {
         Json::Value json(Json::arrayValue);
         for (const T &it : values)
-            json.append(of(it));
+            json.append(encode(it));
         return json;
     }
 
-    template <Described T>
-    static Json::Value of(const T &value)
+    template <HasFieldList T>
+    static Json::Value encode(const T &value)
     {
         Json::Value json(Json::objectValue);
-        std::apply([&](const auto &...field) { (put(json, value, field), ...); },
+        std::apply([&](const auto &...field) { (writeField(json, value, field), ...); },
                    fieldsOf(Tag<T>{}));
         return json;
     }
 
-    static Json::Value of(const Message &message) { return ofVariant(message, MessageNames); }
+    static Json::Value encode(const Message &message)
+    {
+        return encodeVariant(message, MessageNames);
+    }
 
-    static Json::Value of(const LogRecord &record)
+    static Json::Value encode(const LogRecord &record)
     {
         Json::Value json;
-        json["offset"] = of(record.offset);
+        json["offset"] = encode(record.offset);
         json["record"] = recordToJson(record.record);
         return json;
     }
 
 private:
     template <typename Owner, typename Value>
-    static void put(Json::Value &json, const Owner &owner, const Field<Owner, Value> &field)
+    static void writeField(Json::Value &json, const Owner &owner, const Field<Owner, Value> &field)
     {
         const Value &value = owner.*field.member;
         if (field.presence == Presence::Optional && isDefault(value))
             return;
-        json[field.name] = of(value);
+        json[field.name] = encode(value);
     }
 
     template <typename T>
@@ -145,17 +154,19 @@
     }
 
     template <typename Variant, typename Names>
-    static Json::Value ofVariant(const Variant &value, const Names &names)
+    static Json::Value encodeVariant(const Variant &value, const Names &names)
     {
-        Json::Value json = std::visit([](const auto &it) { return of(it); }, value);
+        Json::Value json = std::visit([](const auto &it) { return encode(it); }, value);
         json[TypeKey] = names[value.index()];
         return json;
     }
 };
 
+// Reads each type from JSON by an overload of read(), which returns false on an error.
 class Decoder
 {
 public:
+    // Path of the wrong field and reason, after a read() that failed.
     const std::string &error() const { return m_error; }
 
     bool read(const Json::Value &json, bool &value)
@@ -202,7 +213,8 @@
     template <Integer T>
     bool read(const Json::Value &json, T &value)
     {
-        // Numbers with a fraction or an exponent are refused, because they may have lost digits.
+        // Numbers with a fraction or an exponent are refused: jsoncpp parses them as double, which
+        // may lose digits.
         if (json.type() != Json::intValue && json.type() != Json::uintValue)
             return fail("expected an integer");
         using Wide = std::conditional_t<std::is_signed_v<T>, std::int64_t, std::uint64_t>;
@@ -227,7 +239,7 @@
         int n = 0;
         if (!read(json, n))
             return false;
-        if (n < 0 || n > static_cast<int>(lastOf(Tag<T>{})))
+        if (n < 0 || n > static_cast<int>(lastEnumerator(Tag<T>{})))
             return fail("unknown enumerator");
         value = static_cast<T>(n);
         return true;
@@ -238,7 +250,7 @@
     {
         if (!read(json, value.value))
             return false;
-        // Receivers index arrays with shards.
+        // Receivers use shard numbers as array indexes.
         if constexpr (std::same_as<StrongId<Tag, Rep>, ShardId>)
             return value.value < ShardCount || fail("shard out of range");
         return true;
@@ -263,17 +275,18 @@
         values.reserve(json.size());
         for (Json::ArrayIndex i = 0; i < json.size(); ++i)
             if (!read(json[i], values.emplace_back()))
-                return within('[' + std::to_string(i) + ']');
+                return prependPath('[' + std::to_string(i) + ']');
         return true;
     }
 
-    template <Described T>
+    template <HasFieldList T>
     bool read(const Json::Value &json, T &value)
     {
         if (!json.isObject())
             return fail("expected an object");
-        return std::apply([&](const auto &...field) { return (get(json, value, field) && ...); },
-                          fieldsOf(Tag<T>{}));
+        return std::apply(
+            [&](const auto &...field) { return (readField(json, value, field) && ...); },
+            fieldsOf(Tag<T>{}));
     }
 
     bool read(const Json::Value &json, Message &message)
@@ -286,10 +299,10 @@
         if (!json.isObject())
             return fail("expected an object");
         if (!read(json["offset"], record.offset))
-            return within("offset");
+            return prependPath("offset");
         auto body = recordFromJson(json["record"]);
         if (!isOk(body))
-            return fail(errorOf(body).reason) || within("record");
+            return fail(errorOf(body).reason) || prependPath("record");
         record.record = std::move(valueOf(body));
         return true;
     }
@@ -302,21 +315,21 @@
         return false;
     }
 
-    // Prefixes the path of the error on the way out of a field.
-    bool within(std::string_view part)
+    // Adds a field name or an index to the front of the path in the error.
+    bool prependPath(std::string_view part)
     {
-        const bool joins = !m_error.empty() && m_error.front() != ':' && m_error.front() != '[';
-        m_error.insert(0, joins ? std::string(part) + '.' : std::string(part));
+        const bool needsDot = !m_error.empty() && m_error.front() != ':' && m_error.front() != '[';
+        m_error.insert(0, needsDot ? std::string(part) + '.' : std::string(part));
         return false;
     }
 
     template <typename Owner, typename Value>
-    bool get(const Json::Value &json, Owner &owner, const Field<Owner, Value> &field)
+    bool readField(const Json::Value &json, Owner &owner, const Field<Owner, Value> &field)
     {
         const Json::Value &value = json[field.name];
         if (value.isNull() && field.presence == Presence::Optional)
             return true;
-        return read(value, owner.*field.member) || within(field.name);
+        return read(value, owner.*field.member) || prependPath(field.name);
     }
 
     template <typename Variant, typename Names>
@@ -344,7 +357,7 @@
 
 Json::Value encodeEnvelope(const Envelope &envelope)
 {
-    return Encoder::of(envelope);
+    return Encoder::encode(envelope);
 }
 
 Result<Envelope, MessageError> decodeEnvelope(const Json::Value &json)
--- a/src/messagecodec.h
+++ b/src/messagecodec.h
@@ -1,4 +1,4 @@
-// Envelopes as JSON: the parameters of the JSON-RPC call `deliver`.
+// Encodes and decodes envelopes as JSON: the parameters of the JSON-RPC call `deliver`.
 
 #pragma once
 
@@ -18,8 +18,8 @@
 
 Json::Value encodeEnvelope(const Envelope &envelope);
 
-// Checks types, ranges and presence of every field. Never throws. Unknown fields are ignored, so
-// that a newer process may add some.
+// Checks types, ranges and presence of every field, and returns an error at the first wrong one.
+// Never throws. Unknown fields are ignored, so that a newer process may send additional ones.
 Result<Envelope, MessageError> decodeEnvelope(const Json::Value &json);
 
 } // namespace cactuscove
--- a/src/messagefields.h
+++ b/src/messagefields.h
@@ -1,5 +1,5 @@
-// Names and members of every structure that travels between processes, in one list for both
-// directions of the message codec.
+// Names and members of every structure that is sent between processes. The message codec uses these
+// lists for encoding and decoding.
 
 #pragma once
 
@@ -11,19 +11,21 @@
 
 namespace cactuscove {
 
+// Selects an overload of fieldsOf() or lastEnumerator() by type.
 template <typename T>
 struct Tag
 {};
 
 enum class Presence {
     Required,
-    Optional, // not written at its default value, and left at the default when missing
+    Optional, // omitted if it has its default value, and left at the default if it is missing
 };
 
+// One member of a structure.
 template <typename Owner, typename Value>
 struct Field
 {
-    const char *name;
+    const char *name; // in the JSON object
     Value Owner::*member;
     Presence presence;
 };
@@ -40,7 +42,7 @@
     return {name, member, Presence::Optional};
 }
 
-// Names on the wire, in the order of the variant's alternatives.
+// Names of the message types in JSON, in the order of the alternatives of Message.
 inline constexpr std::array MessageNames{
     "Feed",           "FeedAck",       "Probe",         "ProbeAck", "SubmitJob",   "JobAccepted",
     "JobAnswer",      "SubmitRefused", "CancelJob",     "QueryJob", "JobNotFound", "StartTask",
@@ -49,6 +51,7 @@
     "TransferAck",    "AdoptWitness",  "AdoptAck"};
 static_assert(MessageNames.size() == std::variant_size_v<Message>);
 
+// One overload for each structure: a tuple of Field with every member.
 constexpr auto fieldsOf(Tag<TraceContext>)
 {
     return std::tuple{required("trace", &TraceContext::traceId),
@@ -331,20 +334,20 @@
                       required("state", &SnapshotRecord::state)};
 }
 
-// Highest enumerator, for the range check of the decoder.
-constexpr TaskStatus lastOf(Tag<TaskStatus>)
+// The last enumerator, for the range check of the decoder. Enumerators are sent as numbers.
+constexpr TaskStatus lastEnumerator(Tag<TaskStatus>)
 {
     return TaskStatus::Unknown;
 }
-constexpr Outcome lastOf(Tag<Outcome>)
+constexpr Outcome lastEnumerator(Tag<Outcome>)
 {
     return Outcome::Unknown;
 }
-constexpr SubmitRefusal lastOf(Tag<SubmitRefusal>)
+constexpr SubmitRefusal lastEnumerator(Tag<SubmitRefusal>)
 {
     return SubmitRefusal::ContentMismatch;
 }
-constexpr TaskRefusal lastOf(Tag<TaskRefusal>)
+constexpr TaskRefusal lastEnumerator(Tag<TaskRefusal>)
 {
     return TaskRefusal::Tombstone;
 }
--- a/tests/messagecodec_test.cpp
+++ b/tests/messagecodec_test.cpp
@@ -1,4 +1,4 @@
-// The message codec: no loss on the way there and back, and no crash on anything that arrives.
+// Tests of the message codec: a round trip loses nothing, and no input crashes the decoder.
 
 #include "messagecodec.h"
 #include "messagefields.h"
@@ -14,12 +14,12 @@
 namespace {
 
 template <typename T>
-concept Described = requires
+concept HasFieldList = requires
 {
     fieldsOf(Tag<T>{});
 };
 
-// Converts to anything, to find how many members an aggregate has.
+// Converts to any type; used to count the members of an aggregate.
 struct AnyValue
 {
     template <typename T>
@@ -36,16 +36,18 @@
 }
 
 template <typename T>
-constexpr bool IsWhole = memberCount<T>() == std::tuple_size_v<decltype(fieldsOf(Tag<T>{}))>;
+constexpr bool ListsEveryMember
+    = memberCount<T>() == std::tuple_size_v<decltype(fieldsOf(Tag<T>{}))>;
 
-// A member that is added to a structure and forgotten in the field list would be lost silently.
+// Guards against a member that is missing from the field list of its structure and is lost without
+// an error when it is sent.
 static_assert(
-    IsWhole<
-        TraceContext> && IsWhole<TaskResources> && IsWhole<TaskSpec> && IsWhole<JobSpec> && IsWhole<TaskResult> && IsWhole<TaskAnswer> && IsWhole<LoadReport> && IsWhole<TaskRef> && IsWhole<ShardClaim>);
-static_assert(IsWhole<
-                  FeedAck> && IsWhole<SubmitJob> && IsWhole<JobAccepted> && IsWhole<JobAnswer> && IsWhole<SubmitRefused> && IsWhole<CancelJob> && IsWhole<QueryJob> && IsWhole<JobNotFound> && IsWhole<StartTask> && IsWhole<TaskAccepted> && IsWhole<TaskBusy> && IsWhole<TaskRefused> && IsWhole<TaskDone> && IsWhole<TaskDoneAck> && IsWhole<CancelTask> && IsWhole<TaskNotStarted> && IsWhole<SlotOffer> && IsWhole<OfferDeclined> && IsWhole<Raise> && IsWhole<WitnessedTask> && IsWhole<WitnessedJob> && IsWhole<Witness> && IsWhole<TransferredJob> && IsWhole<TransferShard> && IsWhole<TransferAck> && IsWhole<AdoptedJob> && IsWhole<AdoptWitness> && IsWhole<AdoptAck>);
-static_assert(IsWhole<SnapshotRecord> && IsWhole<Envelope>);
+    ListsEveryMember<
+        TraceContext> && ListsEveryMember<TaskResources> && ListsEveryMember<TaskSpec> && ListsEveryMember<JobSpec> && ListsEveryMember<TaskResult> && ListsEveryMember<TaskAnswer> && ListsEveryMember<LoadReport> && ListsEveryMember<TaskRef> && ListsEveryMember<ShardClaim>);
+static_assert(ListsEveryMember<FeedAck> && ListsEveryMember<SubmitJob> && ListsEveryMember<JobAccepted> && ListsEveryMember<JobAnswer> && ListsEveryMember<SubmitRefused> && ListsEveryMember<CancelJob> && ListsEveryMember<QueryJob> && ListsEveryMember<JobNotFound> && ListsEveryMember<StartTask> && ListsEveryMember<TaskAccepted> && ListsEveryMember<TaskBusy> && ListsEveryMember<TaskRefused> && ListsEveryMember<TaskDone> && ListsEveryMember<TaskDoneAck> && ListsEveryMember<CancelTask> && ListsEveryMember<TaskNotStarted> && ListsEveryMember<SlotOffer> && ListsEveryMember<OfferDeclined> && ListsEveryMember<Raise> && ListsEveryMember<WitnessedTask> && ListsEveryMember<WitnessedJob> && ListsEveryMember<Witness> && ListsEveryMember<TransferredJob> && ListsEveryMember<TransferShard> && ListsEveryMember<TransferAck> && ListsEveryMember<AdoptedJob> && ListsEveryMember<AdoptWitness> && ListsEveryMember<AdoptAck>);
+static_assert(ListsEveryMember<SnapshotRecord> && ListsEveryMember<Envelope>);
 
+// Fills any structure with random values.
 struct Generate
 {
     static void fill(bool &it) { it = *rc::gen::arbitrary<bool>(); }
@@ -68,7 +70,7 @@
     requires std::is_enum_v<T>
     static void fill(T &it)
     {
-        it = static_cast<T>(*rc::gen::inRange(0, static_cast<int>(lastOf(Tag<T>{})) + 1));
+        it = static_cast<T>(*rc::gen::inRange(0, static_cast<int>(lastEnumerator(Tag<T>{})) + 1));
     }
 
     template <typename T>
@@ -92,7 +94,7 @@
             fill(item);
     }
 
-    template <Described T>
+    template <HasFieldList T>
     static void fill(T &it)
     {
         std::apply([&](const auto &...field) { (fill(it.*field.member), ...); },
@@ -104,7 +106,7 @@
         fill(it.offset);
         // The record codec has its own tests.
         it.record.appendId = "append-" + std::to_string(*rc::gen::inRange(0, 100));
-        it.record.body = SuspectRecord{{*edges() | 1}, {*edges() | 1}}; // 0 is no process
+        it.record.body = SuspectRecord{{*edges() | 1}, {*edges() | 1}}; // 0 is not an incarnation
     }
 
     template <typename Variant>
@@ -143,12 +145,13 @@
     return json;
 }
 
+// Compares two values of any structure, member by member.
 struct Equal
 {
     template <typename T>
     static bool of(const T &a, const T &b)
     {
-        if constexpr (Described<T>)
+        if constexpr (HasFieldList<T>)
             return std::apply(
                 [&](const auto &...field) { return (of(a.*field.member, b.*field.member) && ...); },
                 fieldsOf(Tag<T>{}));
@@ -213,7 +216,8 @@
 class MessageCodec : public testing::TestWithParam<std::size_t>
 {};
 
-// A field that loses digits or bytes would change a hash, an epoch or a payload on the way.
+// Guards against a field that loses digits or bytes, which would change a hash, an epoch or a
+// payload.
 TEST_P(MessageCodec, RoundTripThroughTextKeepsEveryField)
 {
     EXPECT_TRUE(rc::check(MessageNames[GetParam()], [&] {
@@ -224,7 +228,8 @@
     }));
 }
 
-// A peer of another version or a damaged body must yield an error and must not end the process.
+// Guards against a crash or an exception when a peer of another version sends a different message,
+// or when a body is damaged.
 TEST_P(MessageCodec, DamagedMessageIsDecodedOrRefused)
 {
     EXPECT_TRUE(rc::check(MessageNames[GetParam()], [&] {
@@ -241,6 +246,7 @@
                          testing::Range<std::size_t>(0, std::variant_size_v<Message>),
                          [](const auto &info) { return MessageNames[info.param]; });
 
+// Guards against errors that do not say which field is wrong and why.
 TEST(MessageCodecErrors, NamesTheFieldAndTheReason)
 {
     const auto errorFor = [](const std::string &message) {
@@ -269,6 +275,7 @@
     EXPECT_EQ(errorFor("[]"), "messages[0]: expected an object with a type");
 }
 
+// Guards against accepting JSON values that are not envelopes.
 TEST(MessageCodecErrors, RefusesEveryOtherJsonValue)
 {
     for (const char *text : {"null", "[]", "1", "\"x\"", "{}", "{\"from\":1,\"to\":2}", "true",
