--- a/src/entrynode.cpp
+++ b/src/entrynode.cpp
@@ -1,4 +1,4 @@
-// Wires the decisions of an entry together and follows its life: registration, revival, shutdown.
+// Connects the parts of an entry node, and handles its registration and shutdown.
 
 #include "entrynode.h"
 
@@ -15,7 +15,8 @@
 
 namespace {
 
-// A caller that comes back reaches another entry; the balancer has seen /readyz by then.
+// A caller that tries again after this time reaches another entry, because the load balancer has
+// seen the changed reply to /readyz by then.
 constexpr Duration ShutdownRetryTime = 1s;
 
 } // namespace
@@ -39,7 +40,7 @@
                 TimePoint now, Outbox &out);
     void onTimer(TimePoint now, Outbox &out);
     void beginShutdown();
-    void stepShutdown(TimePoint now, Outbox &out); // after every event
+    void advanceShutdown(TimePoint now, Outbox &out); // after every event
 
     TimePoint nextTimer() const;
     bool isActive() const { return m_ledger.member(m_self) != nullptr; }
@@ -52,16 +53,22 @@
     const Ledger &ledger() const { return m_ledger; }
 
 private:
-    enum class Stage { Serving, Draining, HandingOver, Leaving, Left };
+    enum class Stage {
+        Serving,
+        Draining,    // answers the waiting callers
+        HandingOver, // hands the remembered job keys to the heir
+        Leaving,     // waits until the ledger shows its LeaveRecord
+        Left
+    };
 
     struct KnownLoad
     {
-        LoadReport digest;
+        LoadReport report;
         TimePoint observedAt;
     };
 
     void dispatch(Incarnation from, const Message &message, TimePoint now, Outbox &out);
-    void observe(const LoadReport &load, TimePoint now);
+    void updateLoad(const LoadReport &load, TimePoint now);
     void onLedgerChange(const LedgerChanges &changes, TimePoint now, Outbox &out);
     void appendRegistration(Outbox &out);
     void checkRegistration(Outbox &out);
@@ -73,8 +80,8 @@
     Membership m_membership;
     MemoryHandover m_handover;
     std::map<Incarnation, KnownLoad> m_loads;
-    std::string m_registrationId; // of the newest registration asked for; empty before the start
-    std::uint32_t m_registrations = 0;
+    std::string m_registrationId; // append id of the newest registration; empty before the start
+    std::uint32_t m_registrationCount = 0;
     Stage m_stage = Stage::Serving;
 };
 
@@ -87,7 +94,7 @@
 {
     m_membership.onPeerActivity(envelope.from, now);
     for (const LoadReport &load : envelope.loads)
-        observe(load, now);
+        updateLoad(load, now);
     for (const Message &message : envelope.messages)
         dispatch(envelope.from, message, now, out);
 }
@@ -98,16 +105,16 @@
         m_handover.onAck(from, *ack, now, out);
         return;
     }
-    // Memory that is adopted during the hand-over of the own one could miss its turn. Without an
-    // acknowledgement the sender chooses another heir.
+    // Keys that arrive while this entry hands over its own could be left out of that handover.
+    // Without an acknowledgement the sender chooses another heir.
     if (std::holds_alternative<AdoptWitness>(message) && (!isServing() || !isActive()))
         return;
-    // Each of them ignores the messages that are meant for the other.
+    // Each of the two ignores the messages that it does not handle.
     m_membership.onMessage(from, message, now, out);
     m_router.onMessage(from, message, now, out);
 }
 
-void EntryNode::Impl::observe(const LoadReport &load, TimePoint now)
+void EntryNode::Impl::updateLoad(const LoadReport &load, TimePoint now)
 {
     KnownLoad &known = m_loads[load.agent];
     if (now - load.age >= known.observedAt)
@@ -118,7 +125,7 @@
 {
     std::vector<LoadReport> result;
     for (const auto &[agent, known] : m_loads) {
-        result.push_back(known.digest);
+        result.push_back(known.report);
         result.back().age = now - known.observedAt;
     }
     return result;
@@ -129,16 +136,16 @@
     LedgerChanges changes;
     const auto isNew = [&](const LogRecord &it) { return it.offset >= m_ledger.next(); };
     const auto first = std::find_if(records.begin(), records.end(), isNew);
-    const std::span<const LogRecord> fresh(first, records.end());
-    for (const LogRecord &record : fresh) {
+    const std::span<const LogRecord> newRecords(first, records.end());
+    for (const LogRecord &record : newRecords) {
         const LedgerChanges change = m_ledger.apply(record);
         changes.members = changes.members || change.members;
         changes.config = changes.config || change.config;
         changes.shards.insert(changes.shards.end(), change.shards.begin(), change.shards.end());
     }
-    if (fresh.empty())
+    if (newRecords.empty())
         return;
-    m_membership.onRecords(fresh, changes, now, out);
+    m_membership.onRecords(newRecords, changes, now, out);
     onLedgerChange(changes, now, out);
 }
 
@@ -174,17 +181,18 @@
 void EntryNode::Impl::appendRegistration(Outbox &out)
 {
     m_registrationId
-        = "register-" + std::to_string(m_self.value) + "-" + std::to_string(++m_registrations);
+        = "register-" + std::to_string(m_self.value) + "-" + std::to_string(++m_registrationCount);
     out.add(Append{Record{m_registrationId, RegisterRecord{m_settings.self}}});
 }
 
-// A process that finds itself down, or retired, takes part again with the same memory.
+// Registers again if the ledger shows this process as down or no longer shows it. The process then
+// rejoins the fleet with its present state.
 void EntryNode::Impl::checkRegistration(Outbox &out)
 {
     const MemberState *self = m_ledger.member(m_self);
-    const bool isGone = !self || (self->isDown && !self->hasLeft);
-    if (!isGone || m_registrationId.empty() || m_stage == Stage::Leaving || m_stage == Stage::Left
-        || !m_ledger.hasAppend(m_registrationId))
+    const bool needsRegistration = !self || (self->isDown && !self->hasLeft);
+    if (!needsRegistration || m_registrationId.empty() || m_stage == Stage::Leaving
+        || m_stage == Stage::Left || !m_ledger.hasAppend(m_registrationId))
         return;
     out.add(LogEvent{Severity::Warning, "register_again", {}});
     appendRegistration(out);
@@ -197,7 +205,7 @@
         m_router.submit(caller, std::move(spec), std::move(trace), waitUntil, now, out);
         return;
     }
-    // Not not_run, because another entry may have forwarded the same key.
+    // The outcome is Unknown and not NotRun, because another entry may have forwarded the same key.
     Answer answer;
     answer.reason = "entry_shutting_down";
     answer.retryAfter = ShutdownRetryTime;
@@ -219,8 +227,9 @@
         m_stage = isActive() ? Stage::Draining : Stage::Left;
 }
 
-// Callers get their answers first, because each forward adds to the memory that is handed over.
-void EntryNode::Impl::stepShutdown(TimePoint now, Outbox &out)
+// The callers are answered first, because every forwarded job adds a key to those that are handed
+// over.
+void EntryNode::Impl::advanceShutdown(TimePoint now, Outbox &out)
 {
     if (m_stage == Stage::Draining && m_router.isIdle()) {
         m_stage = Stage::HandingOver;
@@ -257,7 +266,7 @@
 void EntryNode::onEnvelope(const Envelope &envelope, TimePoint now, Outbox &out)
 {
     m_impl->onEnvelope(envelope, now, out);
-    m_impl->stepShutdown(now, out);
+    m_impl->advanceShutdown(now, out);
 }
 
 void EntryNode::onUndelivered(Incarnation to, const Message &message, TimePoint now, Outbox &out)
@@ -269,13 +278,13 @@
                              Outbox &out)
 {
     m_impl->onLogRecords(records, now, out);
-    m_impl->stepShutdown(now, out);
+    m_impl->advanceShutdown(now, out);
 }
 
 void EntryNode::onLogSnapshot(const SnapshotRecord &snapshot, TimePoint now, Outbox &out)
 {
     m_impl->onLogSnapshot(snapshot, now, out);
-    m_impl->stepShutdown(now, out);
+    m_impl->advanceShutdown(now, out);
 }
 
 void EntryNode::onLogReadStarted()
@@ -319,13 +328,13 @@
 void EntryNode::onTimer(TimePoint now, Outbox &out)
 {
     m_impl->onTimer(now, out);
-    m_impl->stepShutdown(now, out);
+    m_impl->advanceShutdown(now, out);
 }
 
 void EntryNode::beginShutdown(TimePoint now, Outbox &out)
 {
     m_impl->beginShutdown();
-    m_impl->stepShutdown(now, out);
+    m_impl->advanceShutdown(now, out);
 }
 
 TimePoint EntryNode::nextTimer() const
--- a/tests/entrynode_test.cpp
+++ b/tests/entrynode_test.cpp
@@ -1,4 +1,4 @@
-// An entry process as a whole, in virtual time.
+// Tests of EntryNode in virtual time, with a log in memory.
 
 #include "entryfixture.h"
 
@@ -71,7 +71,7 @@
     EntryNode m_node{{member(Self.value, Role::Entry), 1}, 1h};
 };
 
-// Guards the path that every job takes.
+// Guards against a break in the path of every job: forwarded to its home, answered to the caller.
 TEST_F(EntryNodeTest, ForwardsAJobAndHandsTheAnswerBack)
 {
     settle();
@@ -91,8 +91,8 @@
     EXPECT_EQ(m_node.rememberedKeyCount(), 1u);
 }
 
-// An entry that forwards before its own registration is in the ledger is missing from the witness
-// rounds of claims that it does not know.
+// Guards against a job that runs twice: a new home asks only registered entries which keys they
+// have forwarded, so an entry must not forward before its registration is in the ledger.
 TEST_F(EntryNodeTest, ForwardsNothingBeforeItIsRegistered)
 {
     m_out.take();
