--- a/src/upstreamapi.cpp
+++ b/src/upstreamapi.cpp
@@ -1,4 +1,4 @@
-// Parsing and checking of announcements.
+// Parses and checks announcements and leaves.
 
 #include "upstreamapi.h"
 
@@ -22,12 +22,12 @@
 constexpr std::uint32_t MaxSlots = 10'000;
 constexpr std::uint32_t MaxMemoryMb = 64U << 20U; // 64 TiB
 constexpr std::uint32_t MaxAccelerators = 1024;
-// A shorter lease would lapse on one slow heartbeat; a longer one keeps a dead upstream for too
-// long.
+// A shorter lease would expire when a single announcement is late; a longer one would keep a
+// crashed upstream registered for too long.
 constexpr std::uint32_t MinLeaseMs = 100;
 constexpr std::uint32_t MaxLeaseMs = 60'000;
 
-// Reads fields of one object and keeps the first error.
+// Reads the fields of an object and keeps the first error.
 class FieldReader
 {
 public:
--- a/src/upstreamapi.h
+++ b/src/upstreamapi.h
@@ -1,5 +1,5 @@
-// The HTTP interface that an upstream announces itself through: PUT and DELETE /v1/upstream. Plain
-// values in and out; the agent process serves it.
+// Request and error bodies of the HTTP interface by which an upstream announces itself to the agent
+// beside it: PUT and DELETE /v1/upstream. The agent process serves these requests.
 
 #pragma once
 
@@ -13,24 +13,25 @@
 
 struct UpstreamApiError
 {
-    int status = 400;
+    int status = 400;  // HTTP status of the response
     std::string field; // empty if the body as a whole is wrong
     std::string reason;
 };
 
 struct UpstreamLeave
 {
-    std::string incarnation; // empty stands for any
+    std::string incarnation; // empty: the announced one, whatever it is
 };
 
 // Body of PUT: {upstream, incarnation, address, slots, connections, memory_mb, accelerators,
-// lease_ms}. memory_mb and accelerators default to 0.
+// lease_ms}. memory_mb and accelerators default to 0; unknown fields are ignored. The error names
+// the first field that is missing, of the wrong type or out of range.
 Result<UpstreamAnnouncement, UpstreamApiError> parseAnnouncement(std::string_view body);
 
 // Body of DELETE: empty or {incarnation}.
 Result<UpstreamLeave, UpstreamApiError> parseLeave(std::string_view body);
 
-// {"error", "field"} as every interface of the project answers errors.
+// Body of an error response: {"error", "field"}, without "field" if it is empty.
 std::string formatError(const UpstreamApiError &error);
 
 } // namespace cactuscove
--- a/src/upstreamclient.cpp
+++ b/src/upstreamclient.cpp
@@ -1,4 +1,4 @@
-// Requests to the upstream and the meaning of its answers.
+// Sends requests to the upstream and converts its answers to task results.
 
 #include "upstreamclient.h"
 
@@ -11,10 +11,11 @@
 
 namespace {
 
-// The upstream stops a task when its lease lapses; its answer to that needs some time to arrive.
-constexpr Duration AnswerMargin = std::chrono::seconds(2);
-// A result travels in one message and is kept for id_memory; a larger one counts as failed. The
-// process links take messages of up to 4 MB.
+// Added to the lease of a task for the timeout of its request. The upstream stops the task when the
+// lease ends, and its answer needs some time to arrive.
+constexpr Duration AnswerTimeMargin = std::chrono::seconds(2);
+// Limit for a result body; a task with a larger one counts as failed. A result is sent in one
+// message, is kept for id_memory, and the links between processes accept messages of up to 4 MB.
 constexpr std::size_t MaxResultBytes = 256 << 10;
 constexpr char IncarnationHeader[] = "X-Upstream-Incarnation";
 
@@ -30,9 +31,10 @@
     return "http://" + address + path;
 }
 
+// The upstream states that it has not started the task.
 bool provesNoStart(const HttpReply &reply)
 {
-    // 409 alone is also a usual answer of a task that ran, so both refusals need the header.
+    // Status 409 alone may also be the result of a task that ran, so the header is required too.
     if (reply.status != 503 && reply.status != 409)
         return false;
     const auto header = reply.headers.find("x-task-started");
@@ -98,9 +100,9 @@
         call.headers["traceparent"]
             = "00-" + effect.trace.traceId + '-' + effect.trace.spanId + "-01";
     call.body = write(body);
-    call.timeout = effect.lease + AnswerMargin;
+    call.timeout = effect.lease + AnswerTimeMargin;
     call.maxReplyBytes = MaxResultBytes;
-    call.freshConnection = true; // rule R10: libcurl must not resend a start
+    call.freshConnection = true; // rule R10: libcurl must not send a start twice
     m_http.start(std::move(call), [this, key](const Result<HttpReply, HttpCallError> &answer) {
         onAnswer(key, answer);
     });
@@ -118,7 +120,8 @@
         call.url = urlOf(it->second.upstreamAddress, "/stop");
         call.headers[IncarnationHeader] = it->second.upstreamIncarnation;
         call.body = write(body);
-        // A lost stop is asked for again by the home's next CancelTask.
+        // The answer is ignored. If the request is lost, the next CancelTask of the home repeats
+        // it.
         m_http.start(std::move(call), [](const Result<HttpReply, HttpCallError> &) {});
     }
 }
--- a/src/upstreamclient.h
+++ b/src/upstreamclient.h
@@ -1,5 +1,6 @@
-// Carries out StartOnUpstream and StopOnUpstream over HTTP: POST /run and POST /stop on the
-// upstream. Each start uses a connection of its own (rule R10).
+// Carries out the effects StartOnUpstream and StopOnUpstream over HTTP: POST /run and POST /stop on
+// the upstream. Rule R10: each start uses its own connection, because libcurl may send a request
+// again when a reused connection closes, and the task would then start twice.
 
 #pragma once
 
@@ -14,25 +15,33 @@
 
 namespace cactuscove {
 
-// What the answer to POST /run, or its absence, means for the task.
+// The result of a task by the answer to POST /run:
+//   Completed   status 2xx or 4xx
+//   NotStarted  503 or 409 with the header "X-Task-Started: false", or no byte was sent
+//   Failed      every other status, or the connection broke after a byte was sent
+//   Unknown     no answer within the timeout
 TaskResult taskResultOf(const Result<HttpReply, HttpCallError> &answer, Duration runTime);
 
+// Owned by the agent process, which passes the results to the agent node.
 class UpstreamClient
 {
 public:
     using ResultHandler
         = std::function<void(const TaskRef &ref, std::uint32_t attempt, TaskResult result)>;
 
-    // `onResult` runs from the loop, exactly once for each start.
+    // `loop` and `http` outlive the client. `onResult` is called from the event loop, exactly once
+    // for each start.
     UpstreamClient(EventLoop &loop, HttpClient &http, ResultHandler onResult);
 
     void start(const StartOnUpstream &effect);
-    // Asks the upstream to stop the task. Its start ends with the upstream's answer as usual.
+    // Asks the upstream to stop every running attempt of the task. Their results still come from
+    // the answers to their starts.
     void stop(const StopOnUpstream &effect);
 
-    std::size_t openStarts() const { return m_starts.size(); }
+    std::size_t openStarts() const { return m_starts.size(); } // starts without a result
 
 private:
+    // A start that has not been answered.
     struct Start
     {
         std::string taskId;
@@ -40,7 +49,7 @@
         std::string upstreamIncarnation;
         TimePoint startedAt;
     };
-    using StartKey = std::pair<TaskRef, std::uint32_t>; // with the attempt
+    using StartKey = std::pair<TaskRef, std::uint32_t>; // task and attempt
 
     void onAnswer(const StartKey &key, const Result<HttpReply, HttpCallError> &answer);
 
--- a/tests/upstreamapi_test.cpp
+++ b/tests/upstreamapi_test.cpp
@@ -1,4 +1,4 @@
-// Announcements: a wrong one must be refused with the field that is wrong.
+// Tests of the parsing of announcements and leaves of an upstream.
 
 #include "upstreamapi.h"
 
@@ -13,6 +13,7 @@
 const char Valid[] = R"({"upstream": "walk-desk", "incarnation": "u1", "address": "127.0.0.1:9000",
     "slots": 8, "connections": 64, "memory_mb": 1024, "lease_ms": 3000})";
 
+// Guards against a field of an announcement that is read wrongly or not at all.
 TEST(UpstreamApi, ReadsAnAnnouncement)
 {
     const auto parsed = parseAnnouncement(Valid);
@@ -27,6 +28,7 @@
     EXPECT_EQ(it.lease, std::chrono::seconds(3));
 }
 
+// Guards against accepting a wrong value, and against an error that names another field.
 TEST(UpstreamApi, NamesTheWrongField)
 {
     const auto fieldOf = [](const char *name, const Json::Value &value) {
@@ -46,9 +48,10 @@
     EXPECT_EQ(fieldOf("connections", "64"), "connections");
     EXPECT_EQ(fieldOf("accelerators", 1.5), "accelerators");
     EXPECT_EQ(fieldOf("lease_ms", 1), "lease_ms");
-    EXPECT_EQ(fieldOf("unknown", 1), "accepted"); // a newer upstream may say more
+    EXPECT_EQ(fieldOf("unknown", 1), "accepted"); // a newer upstream may send more fields
 }
 
+// Guards against accepting a body that is not a JSON object, and against a crash on deep nesting.
 TEST(UpstreamApi, RefusesWhatIsNoObject)
 {
     for (const char *body : {"", "[]", "{", "nul", "{} x"})
@@ -57,6 +60,7 @@
     EXPECT_FALSE(isOk(parseLeave("[]")));
 }
 
+// Guards against an empty body of DELETE being refused: the incarnation is optional.
 TEST(UpstreamApi, LeaveNamesAnIncarnationOrNone)
 {
     EXPECT_EQ(valueOf(parseLeave("")).incarnation, "");
--- a/tests/upstreamclient_test.cpp
+++ b/tests/upstreamclient_test.cpp
@@ -1,4 +1,5 @@
-// Starts and stops on an upstream over loopback, and what its answers mean.
+// Tests of UpstreamClient against an HTTP server on the loopback interface: requests, results, and
+// the meaning of the answers.
 
 #include "httpserver.h"
 #include "upstreamclient.h"
@@ -12,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-// An upstream that records every start.
+// The server plays the upstream: it records every request and replies with `answer`.
 class UpstreamClientTest : public testing::Test
 {
 protected:
@@ -26,6 +27,7 @@
         server = std::move(valueOf(listened));
     }
 
+    // Starts a task and runs the event loop until its result arrives.
     TaskResult run(const std::string &task)
     {
         StartOnUpstream effect;
@@ -58,6 +60,7 @@
                           }};
 };
 
+// Guards against a start that lacks a field or header, and against a changed result.
 TEST_F(UpstreamClientTest, SendsTheTaskAndReturnsItsResult)
 {
     const TaskResult result = run("t1");
@@ -75,8 +78,9 @@
     EXPECT_EQ(body["lease_ms"].asInt(), 5000);
 }
 
-// libcurl resends a request when a reused connection closes before the first response byte,
-// although the upstream may have started the task (R10).
+// Guards against a second start of a task: libcurl sends a request again when a reused connection
+// closes before the first response byte, although the upstream may have started the task. So each
+// start must use its own connection (R10).
 TEST_F(UpstreamClientTest, ClosedConnectionNeverStartsATaskTwice)
 {
     answer = [this](RequestId id, const HttpRequest &request) {
@@ -89,8 +93,8 @@
         run(task);
     EXPECT_EQ(arrived["/run"].size(), 3U);
 
-    // The same server makes a client that reuses connections send twice. Without this the
-    // expectation above would show nothing.
+    // Shows that the server does provoke the fault: a client that reuses connections sends a
+    // request twice.
     for (int n = 0; n < 2; ++n) {
         HttpCall call{"POST", "http://" + server->address() + "/reused"};
         http.start(call, [this](const auto &) { loop.stop(); });
@@ -99,6 +103,7 @@
     EXPECT_EQ(arrived["/reused"].size(), 3U);
 }
 
+// Guards against a task that counts as not started although the upstream has received it.
 TEST_F(UpstreamClientTest, ConnectionClosedAfterTheStartIsAFailure)
 {
     answer = [this](RequestId id, const HttpRequest &) { server->closeWithoutResponse(id); };
@@ -106,7 +111,8 @@
     EXPECT_EQ(arrived["/run"].size(), 1U);
 }
 
-// A result that no message can carry would be repeated for ever, and would take memory before.
+// Guards against a result that exceeds the size limit of messages: it would use memory and be
+// repeated forever.
 TEST_F(UpstreamClientTest, TooLargeResultIsAFailure)
 {
     answer = [this](RequestId id, const HttpRequest &) {
@@ -115,6 +121,7 @@
     EXPECT_EQ(run("t1").status, TaskStatus::Failed);
 }
 
+// Guards against giving up a task that has certainly not started.
 TEST_F(UpstreamClientTest, RefusedConnectionProvesThatNothingStarted)
 {
     const std::string address = server->address();
@@ -127,7 +134,7 @@
     EXPECT_EQ(last.status, TaskStatus::NotStarted);
 }
 
-// An upstream that goes silent must not hold the slot for good.
+// Guards against a slot that stays in use forever because the upstream does not answer.
 TEST_F(UpstreamClientTest, SilenceBeyondTheLeaseIsUnknown)
 {
     lease = 100ms;
@@ -135,6 +142,7 @@
     EXPECT_EQ(run("t1").status, TaskStatus::Unknown);
 }
 
+// Guards against a stop that waits for the answer to the start.
 TEST_F(UpstreamClientTest, StopReachesTheUpstreamWhileTheTaskRuns)
 {
     RequestId running;
@@ -151,6 +159,7 @@
     EXPECT_EQ(arrived["/stop"].size(), 1U);
 }
 
+// Guards against a wrong task status: a task that ran must not count as not started.
 TEST(TaskResultOf, MapsAnswers)
 {
     const auto statusOf = [](int status, std::map<std::string, std::string> headers = {}) {
@@ -163,7 +172,7 @@
     EXPECT_EQ(statusOf(503), TaskStatus::Failed);
     EXPECT_EQ(statusOf(503, {{"x-task-started", "false"}}), TaskStatus::NotStarted);
     EXPECT_EQ(statusOf(409, {{"x-task-started", "false"}}), TaskStatus::NotStarted);
-    // A task that ran may answer 409, for example for a seat that is taken.
+    // The result of a task may be 409, for example when a seat is taken.
     EXPECT_EQ(statusOf(409), TaskStatus::Completed);
     EXPECT_EQ(statusOf(500, {{"x-task-started", "false"}}), TaskStatus::Failed);
 }
