--- a/tests/dispatchfleet_test.cpp
+++ b/tests/dispatchfleet_test.cpp
@@ -249,8 +249,8 @@
 // needs: some schedule must violate a guarantee without the bound and keep all of them with it.
 TEST_P(BoundOfThePromise, IsNeeded)
 {
-    constexpr std::uint64_t MaxSchedules = 400;
-    for (std::uint64_t seed = 1; seed <= MaxSchedules; ++seed) {
+    constexpr std::uint64_t maxSchedules = 400;
+    for (std::uint64_t seed = 1; seed <= maxSchedules; ++seed) {
         DispatchFleetOptions options = smallFleet(seed);
         options.lostReplyRate = GetParam().lostReplyRate;
         DispatchFleetOptions without = options;
@@ -261,7 +261,7 @@
         EXPECT_TRUE(violations.empty()) << "seed " << seed << ": " << violations.front();
         return;
     }
-    FAIL() << "no violation in " << MaxSchedules << " schedules";
+    FAIL() << "no violation in " << maxSchedules << " schedules";
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/workerdirectory_test.cpp
+++ b/tests/workerdirectory_test.cpp
@@ -89,20 +89,20 @@
 // Guards against comparing the remaining workers with the workers of agents that are gone for good.
 TEST_F(WorkerDirectoryTest, WorkersOfAGoneAgentDoNotCount)
 {
-    constexpr Incarnation Other{8};
-    m_directory.agentConnected(Other, "other", "dc", Now);
-    m_directory.updateAgentClock(Other, Now, Now);
+    constexpr Incarnation otherAgent{8};
+    m_directory.agentConnected(otherAgent, "other", "dc", Now);
+    m_directory.updateAgentClock(otherAgent, Now, Now);
     WorkerInfo info;
     info.id = "d";
     info.upstream = "u";
     info.capacity = {10000, 1000, 0};
-    m_directory.updateWorker(Other, {info, false});
+    m_directory.updateWorker(otherAgent, {info, false});
     WorkerLoad load;
     load.workerId = "d";
     load.free = {10000, 1000, 0};
     load.isUsable = true;
     load.failureRate = 0.3; // above the limit while the three other workers count
-    m_directory.updateLoad(Other, load);
+    m_directory.updateLoad(otherAgent, load);
     EXPECT_EQ(m_directory.usableCapacity("u", Now).freeCores, 30);
     m_directory.agentDisconnected(Agent);
     EXPECT_EQ(m_directory.connectedAgents(), 1U);
