--- a/tests/system/fault_test.py
+++ b/tests/system/fault_test.py
@@ -1,4 +1,8 @@
-"""What must always hold, with real processes under failures: kills, pauses, outages, cuts, races."""
+"""System test of the entry and agent roles under failures.
+
+Processes are killed and paused, the log is down, connections go silent, and configurations are
+applied at the same time. In each case the answers must be true and no task may start twice.
+"""
 import json
 import os
 import re
@@ -10,28 +14,39 @@
 
 
 def shards_of(agent):
+    """Number of shards whose home the agent is, by its own metrics."""
     return metric(agent.address, "cactuscove_shards_owned")
 
 
 def is_refused(call):
+    """Whether the call made by in_background() has ended and its job was answered as not run."""
     return call.is_done() and call().body.get("outcome") == "not_run"
 
 
 class FaultTest(FleetTest):
+    """Failures of processes, of the log and of connections, and configurations that conflict."""
+
     def wait_all_shards_owned(self):
+        """Waits until the live agents are the homes of all 512 shards; returns the seconds it took."""
         agents = self.fleet.live(self.fleet.agents)
         return wait_until("home for every shard", lambda: sum(map(shards_of, agents)) == 512)
 
-    def submit_wave(self, count, **fields):
-        """Jobs spread over the entries; returns (job, result function) pairs."""
+    def submit_batch(self, count, **fields):
+        """Submits jobs at the live entries in turn, without waiting for the answers.
+
+        Returns a pair for each job: its body and the result function of in_background().
+        """
         entries = self.fleet.live(self.fleet.entries)
         bodies = [job(**fields) for _ in range(count)]
         return [(it, in_background(submit, entries[n % len(entries)], it))
                 for n, it in enumerate(bodies)]
 
-    def check_wave(self, wave):
-        """Every answer is whole or a truthful failure; returns the number of completed jobs."""
-        replies = [(body, call()) for body, call in wave]
+    def check_batch(self, batch):
+        """Waits for all answers of a batch and checks them; returns the number of completed jobs.
+
+        No task of a job answered as not_run may have started, and no task at all twice.
+        """
+        replies = [(body, call()) for body, call in batch]
         starts = self.fleet.starts()
         for body, reply in replies:
             self.assert_answer(body, reply)
@@ -41,22 +56,24 @@
         self.assert_started_at_most_once()
         return sum(reply.body.get("outcome") == "completed" for _, reply in replies)
 
-    # The loss of a home must not double a task, and new jobs on every shard complete in seconds.
+    # Guards against tasks that start twice after the death of their home, and against shards that stay
+    # without a home: all jobs submitted after the takeover must complete.
     def test_a_killed_agent(self):
-        wave = self.submit_wave(30, tasks=4, run_ms=400)
+        batch = self.submit_batch(30, tasks=4, run_ms=400)
         wait_until("running tasks", lambda: sum(self.fleet.starts().values()) >= 20)
         self.fleet.agents[0].kill()
-        self.check_wave(wave)
-        # A resubmission after the death of the home gets its answer at once.
+        self.check_batch(batch)
+        # Jobs submitted again after the death of the home get an answer within 5 s.
         entry = self.fleet.entries[1]
-        taken_over = self.wait_all_shards_owned()
-        for body, _ in wave:
+        takeover_seconds = self.wait_all_shards_owned()
+        for body, _ in batch:
             seconds = wait_until("answer", lambda body=body: submit(entry, body), limit=5)
             self.assertLess(seconds, 5)
-        self.assertLess(taken_over, 15)
-        self.assertEqual(self.check_wave(self.submit_wave(60, tasks=1, run_ms=10)), 60)
+        self.assertLess(takeover_seconds, 15)
+        self.assertEqual(self.check_batch(self.submit_batch(60, tasks=1, run_ms=10)), 60)
 
-    # A caller whose entry dies resubmits elsewhere and gets the answer of the first submission.
+    # Guards against running a job again when its caller loses its entry and submits it at another one:
+    # the caller must get the answer of the first submission.
     def test_a_killed_entry(self):
         bodies = [job(tasks=4, run_ms=500) for _ in range(10)]
         for it in bodies:
@@ -68,30 +85,33 @@
             self.assert_completed(it, reply)
         self.assert_started_at_most_once()
 
-    # A home that is paused past its takeover and wakes up must not start anything again.
+    # Guards against tasks that a home starts after other agents have taken over its shards: the home
+    # was paused until then and does not know of the takeover when it continues.
     def test_a_paused_agent_that_wakes_after_the_takeover(self):
-        wave = self.submit_wave(30, tasks=3, run_ms=400)
+        batch = self.submit_batch(30, tasks=3, run_ms=400)
         wait_until("running tasks", lambda: sum(self.fleet.starts().values()) >= 20)
         paused = self.fleet.agents[0]
         paused.signal(signal.SIGSTOP)
         others = self.fleet.agents[1:]
         wait_until("takeover", lambda: sum(map(shards_of, others)) == 512)
-        # A job that was not run may run when it is submitted again, so only the others are.
+        # A job answered as not_run may run when it is submitted again, which check_batch() would
+        # report for its first answer. So such jobs are left out.
         again = [(body, in_background(submit, self.fleet.entries[n % 2], body))
-                 for n, (body, call) in enumerate(wave) if not is_refused(call)]
+                 for n, (body, call) in enumerate(batch) if not is_refused(call)]
         paused.signal(signal.SIGCONT)
-        self.check_wave(wave)
-        self.check_wave(again)
+        self.check_batch(batch)
+        self.check_batch(again)
         wait_until("return of the paused agent", lambda: shards_of(paused) > 0, limit=60)
         self.wait_all_shards_owned()
-        self.assertEqual(self.check_wave(self.submit_wave(60, tasks=1, run_ms=10)), 60)
+        self.assertEqual(self.check_batch(self.submit_batch(60, tasks=1, run_ms=10)), 60)
 
-    # With the log down, jobs go on: no start needs the log.
+    # Guards against jobs that wait for the log: tasks start without it, so jobs must complete while it
+    # is down. Afterwards configurations must be accepted again.
     def test_the_log_is_down(self):
         http("PUT", self.fleet.log.address, "/faults", {"down": True})
         wait_until("outage seen", lambda: metric(self.fleet.entries[0].address,
                                                  "cactuscove_log_reachable") == 0)
-        done = sum(self.check_wave(self.submit_wave(20, tasks=3, run_ms=50)) for _ in range(5))
+        done = sum(self.check_batch(self.submit_batch(20, tasks=3, run_ms=50)) for _ in range(5))
         self.assertEqual(done, 100)
         http("PUT", self.fleet.log.address, "/faults", {"down": False})
         wait_until("log seen again", lambda: metric(self.fleet.entries[0].address,
@@ -100,24 +120,25 @@
         self.assertEqual(status, 0, output)
         self.fleet.wait_revision(2)
 
-    # Connections that go silent for good: new ones must be opened, and no task runs twice.
+    # Guards against waiting forever on connections that stay open and carry nothing any more: new
+    # connections must be opened, and no task may start twice.
     def test_silent_connections(self):
         port = free_port()
         proxy = self.fleet.start("proxy", "cuttingproxy", f"--target=127.0.0.1:{port}")
         control = re.search(r"control (\S+)", proxy.log()).group(1)
         agent = self.fleet.add_worker(f"--advertise={proxy.address}", listen=f"127.0.0.1:{port}")
         wait_until("shards of the agent behind the proxy", lambda: shards_of(agent) > 100)
-        self.assertEqual(self.check_wave(self.submit_wave(40, tasks=3, run_ms=50)), 40)
+        self.assertEqual(self.check_batch(self.submit_batch(40, tasks=3, run_ms=50)), 40)
         for _ in range(2):
-            wave = self.submit_wave(40, tasks=3, run_ms=300)
+            batch = self.submit_batch(40, tasks=3, run_ms=300)
             wait_until("running tasks", lambda: metric(
                 agent.address, "cactuscove_upstream_free_slots") < 8)
             self.assertEqual(http("POST", control, "/silence").status, 200)
-            self.assertEqual(self.check_wave(wave), 40)
-            self.assertEqual(self.check_wave(self.submit_wave(40, tasks=3, run_ms=50)), 40)
+            self.assertEqual(self.check_batch(batch), 40)
+            self.assertEqual(self.check_batch(self.submit_batch(40, tasks=3, run_ms=50)), 40)
 
     def changed_config(self, weight):
-        """The example file with another weight of one team; returns its path."""
+        """Writes the example configuration with another weight of its first team; returns the path."""
         with open(CONFIG, encoding="utf-8") as file:
             text = re.sub(r"weight: \d+", f"weight: {weight}", file.read(), count=1)
         path = os.path.join(self.fleet.directory, f"fleet-{weight}.yaml")
@@ -125,7 +146,8 @@
             file.write(text)
         return path
 
-    # Both offices apply at once: one wins, the other is told who; the truth is the same everywhere.
+    # Guards against two configurations that are accepted for the same revision: of two offices that
+    # apply at once, one succeeds, the other is told which office did, and all entries agree.
     def test_two_offices_race(self):
         revision = 1
         for n in range(5):
@@ -144,7 +166,8 @@
             texts = {http("GET", it.address, "/v1/config").body["text"] for it in self.fleet.entries}
             self.assertEqual(len(texts), 1)
 
-    # An append whose reply is lost took effect once and is reported as accepted.
+    # Guards against an append to the log that is repeated or reported as failed because its reply was
+    # lost after it took effect.
     def test_lost_append_replies(self):
         for n in range(4):
             http("PUT", self.fleet.log.address, "/faults", {"drop_replies": 1})
@@ -152,7 +175,8 @@
             self.assertEqual(status, 0, output)
             self.fleet.wait_revision(n + 2)
 
-    # A refused file changes nothing and names line, field, value and reason.
+    # Guards against a partly applied configuration, and against a refusal without the line, the field
+    # and the value that are wrong.
     def test_a_bad_file_changes_nothing(self):
         path = os.path.join(self.fleet.directory, "bad.yaml")
         with open(CONFIG, encoding="utf-8") as file:
@@ -166,7 +190,8 @@
             self.assertIn(part, output)
         self.fleet.wait_revision(1)
 
-    # A broken connection proves nothing, so the task must not be sent again.
+    # Guards against sending a task again after its connection broke: it may have started, which is
+    # what happens here, so its outcome is "unknown".
     def test_a_task_that_breaks_after_its_start_is_unknown_and_not_repeated(self):
         for it in self.fleet.upstreams:
             http("PUT", it.address, "/faults", {"close_after_start": True})
@@ -179,12 +204,14 @@
 
 
 class TrimmedLogTest(FleetTest):
-    """The accepted file survives restarts of every process and a log that keeps few records."""
+    """The log keeps only its last records, as if older ones had passed their retention."""
 
     def make_fleet(self):
-        # The shortest retention, so that a snapshot is due every 15 s.
+        # With the shortest retention, a snapshot is written every 15 s.
         return Fleet(options=["--log-retention-s=60"])
 
+    # Guards against an older configuration coming back: once the records of revision 4 are trimmed,
+    # processes that start must take it from the snapshot while all processes are replaced in turn.
     def test_configuration_never_reverts(self):
         fleet = self.fleet
         for n in range(3):
@@ -198,7 +225,8 @@
         http("PUT", fleet.log.address, "/faults", {"retain": 3})
         for processes, start in ((fleet.entries, fleet.start_entry), (fleet.agents, fleet.add_worker)):
             for old in list(processes):
-                # Killed entries leave no gap as long as agents hand their memory over.
+                # Entries may be killed: nothing is lost as long as agents end in order and hand over
+                # what they remember.
                 old.signal(signal.SIGKILL if old in fleet.entries else signal.SIGTERM)
                 wait_until(f"end of {old.name}", lambda old=old: old.child.poll() is not None)
                 new = start()
--- a/tests/system/fleet.py
+++ b/tests/system/fleet.py
@@ -1,6 +1,8 @@
-"""Runs real processes on loopback for the system tests: log stand-in, entries, agents, upstreams.
+"""Starts real processes on loopback for the system tests: log stand-in, entries, agents, upstreams.
 
-Every wait is for an observed state with a generous limit; no test sleeps for a fixed time.
+path_test.py and fault_test.py derive their tests from FleetTest; tools/measure-control and
+tools/measure-latency use Fleet alone. Tests wait until a state is observed, with a generous time
+limit, and never sleep for a fixed time.
 """
 import collections
 import json
@@ -18,13 +20,17 @@
 
 BIN = os.environ.get("CACTUSCOVE_BIN", "build/release")
 CONFIG = "examples/fleet.yaml"
-LIMIT = 30.0  # seconds until a state that must come counts as missing
+WAIT_LIMIT_S = 30.0  # default time limit of wait_until()
 
+# `body` is the parsed JSON of the reply, or its text where that is not JSON.
 Reply = collections.namedtuple("Reply", "status body headers")
 
 
 def http(method, address, path, body=None, timeout=20.0):
-    """Returns the reply, or None if there was no HTTP answer."""
+    """Sends one request and returns its Reply, also for status 4xx and 5xx, or None without one.
+
+    `body` is sent as it is if it is bytes, else as JSON. `timeout` is in seconds.
+    """
     data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
     request = urllib.request.Request(f"http://{address}{path}", data=data, method=method)
     try:
@@ -40,8 +46,11 @@
         return Reply(status, text.decode(), headers)
 
 
-def wait_until(what, condition, limit=LIMIT):
-    """Polls until the condition holds and returns the seconds that it took."""
+def wait_until(what, condition, limit=WAIT_LIMIT_S):
+    """Polls until condition() is true and returns the seconds that this took.
+
+    Fails with an AssertionError that names `what` after `limit` seconds.
+    """
     begin = time.monotonic()
     while True:
         value = condition()
@@ -53,22 +62,25 @@
 
 
 def in_background(function, *arguments):
-    """Runs the function in a thread; the returned result() waits for its value."""
-    box = []
-    thread = threading.Thread(target=lambda: box.append(function(*arguments)), daemon=True)
+    """Calls the function in a thread and returns a function result().
+
+    result() waits up to `limit` seconds for the value; result.is_done() does not wait.
+    """
+    values = []  # empty until the function has returned, then its value
+    thread = threading.Thread(target=lambda: values.append(function(*arguments)), daemon=True)
     thread.start()
 
     def result(limit=60.0):
         thread.join(limit)
-        assert box, "the call did not end"
-        return box[0]
+        assert values, f"{function} did not return within {limit} s"
+        return values[0]
 
-    result.is_done = lambda: bool(box)
+    result.is_done = lambda: bool(values)
     return result
 
 
 def metric(address, name):
-    """Sum over all labels; 0 without an answer."""
+    """Reads a metric of the process at `address`: its sum over all labels, or 0 without an answer."""
     reply = http("GET", address, "/metrics", timeout=2)
     total = 0.0
     for line in reply.body.splitlines() if reply else []:
@@ -78,52 +90,64 @@
 
 
 def free_port():
-    with socket.socket() as it:
-        it.bind(("127.0.0.1", 0))
-        return it.getsockname()[1]
+    """A TCP port of 127.0.0.1 that nothing listens on at the time of the call."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return probe.getsockname()[1]
 
 
 class Process:
-    """One process of the fleet; `address` is read from its first lines of output."""
+    """One child process, whose output goes to a file.
+
+    The constructor returns once the process has printed the ip:port that it listens on (`address`).
+    """
 
     def __init__(self, name, directory, command):
         self.name = name
-        self.output = os.path.join(directory, name + ".log")
+        self.output = os.path.join(directory, name + ".log")  # path of its stdout and stderr
         with open(self.output, "wb") as out:
             self.child = subprocess.Popen([os.path.join(BIN, command[0]), *command[1:]],
                                           stdout=out, stderr=subprocess.STDOUT)
         wait_until(f"address of {name}", self._read_address)
 
     def _read_address(self):
+        """Sets `address` from the output; False while the process has not printed it."""
         assert self.child.poll() is None, f"{self.name} ended: {self.log()}"
-        for mark in ("listen=", "listening on "):
-            if mark in self.log():
-                word = self.log().split(mark)[1].split()
-                self.address = "127.0.0.1:" + word[1] if word[0] == "port" else word[0]
+        for prefix in ("listen=", "listening on "):
+            if prefix in self.log():
+                words = self.log().split(prefix)[1].split()
+                self.address = "127.0.0.1:" + words[1] if words[0] == "port" else words[0]
                 return True
         return False
 
     def signal(self, number):
+        """Sends the signal; the process need not have ended afterwards."""
         self.child.send_signal(number)
 
     def kill(self):
+        """Sends SIGKILL and waits for the end of the process."""
         self.child.kill()
         self.child.wait()
 
     def log(self):
+        """Everything that the process has printed so far."""
         with open(self.output, encoding="utf-8") as text:
             return text.read()
 
 
 class Fleet:
-    """2 entries and 3 agents with one upstream each unless told otherwise."""
+    """A log stand-in, entries, and agents with one upstream stand-in each, all on loopback.
+
+    The constructor returns when the fleet is ready. `options` are flags of every entry and agent;
+    with `spans` each of them writes its trace spans to ROLE<n>.spans in `directory`.
+    """
 
     def __init__(self, entries=2, agents=3, options=(), spans=False):
         self.spans = spans
-        self.options = options  # of every entry and agent
-        self.directory = tempfile.mkdtemp(prefix="cactuscove-")
-        self.processes = []
-        self.count = collections.Counter()
+        self.options = options
+        self.directory = tempfile.mkdtemp(prefix="cactuscove-")  # output of all processes
+        self.processes = []  # all that were ever started
+        self.count = collections.Counter()  # processes started, by kind
         self.log = self.start("log", "logstandin", "--listen=127.0.0.1:0")
         self.entries = [self.start_entry() for _ in range(entries)]
         self.agents = []
@@ -133,12 +157,14 @@
         self.wait_ready()
 
     def start(self, kind, *command):
+        """Starts a program of the build directory; its name is `kind` and a running number."""
         self.count[kind] += 1
         process = Process(f"{kind}{self.count[kind]}", self.directory, command)
         self.processes.append(process)
         return process
 
     def start_role(self, role, *extra, listen="127.0.0.1:0"):
+        """Starts an entry or agent with `extra` flags; the caller adds it to `entries` or `agents`."""
         if self.spans:
             path = os.path.join(self.directory, f"{role}{self.count[role] + 1}.spans")
             extra += (f"--trace-file={path}",)
@@ -147,9 +173,11 @@
                           *self.options, *extra)
 
     def start_entry(self, *extra):
+        """Starts one more entry; the caller adds it to `entries`."""
         return self.start_role("entry", *extra)
 
     def add_worker(self, *extra, **options):
+        """Starts an agent and an upstream that announces itself to this agent; returns the agent."""
         agent = self.start_role("agent", *extra, **options)
         self.agents.append(agent)
         self.upstreams.append(self.start("upstream", "upstreamstandin", "--listen=127.0.0.1:0",
@@ -157,10 +185,11 @@
         return agent
 
     def live(self, processes):
+        """Those of the given processes that have not ended."""
         return [it for it in processes if it.child.poll() is None]
 
     def wait_ready(self):
-        """Every process is registered, every shard has a home, every upstream has announced."""
+        """Waits until live processes are ready, shards have a home and agents have an upstream."""
         def ready():
             for it in self.live(self.entries + self.agents):
                 reply = http("GET", it.address, "/readyz", timeout=2)
@@ -173,7 +202,7 @@
         wait_until("ready fleet", ready)
 
     def apply(self, entry=None, config=CONFIG, office="hollisdale", extra=()):
-        """Runs `cactuscove apply`; returns exit status and output."""
+        """Runs `cactuscove apply` against an entry; returns its exit status and output."""
         entry = entry or self.live(self.entries)[0]
         run = subprocess.run([os.path.join(BIN, "cactuscove"), "apply",
                               f"--entry-url=http://{entry.address}", f"--office={office}",
@@ -182,12 +211,13 @@
         return run.returncode, run.stdout + run.stderr
 
     def wait_revision(self, revision, processes=None):
+        """Waits until all given processes (default: all live ones) use this configuration revision."""
         processes = processes or self.live(self.entries + self.agents)
         return wait_until(f"revision {revision} everywhere", lambda: all(
             metric(it.address, "cactuscove_config_revision") == revision for it in processes))
 
     def starts(self):
-        """How often each (job, task) was started, over all upstreams that ever ran."""
+        """Number of starts by (job, task), summed over the upstreams that answer."""
         total = collections.Counter()
         for it in self.upstreams:
             reply = http("GET", it.address, "/starts", timeout=5)
@@ -196,6 +226,7 @@
         return total
 
     def stop(self):
+        """Kills all processes, also those that a test has stopped with SIGSTOP."""
         for it in self.processes:
             if it.child.poll() is None:
                 it.signal(signal.SIGCONT)
@@ -203,7 +234,7 @@
 
 
 def job(job_id=None, tasks=3, run_ms=50, **fields):
-    """A job of `tasks` tasks that each take run_ms and echo their own name."""
+    """Body of a job whose tasks each take run_ms and echo "JOB/TASK"; `fields` replace its fields."""
     job_id = job_id or uuid.uuid4().hex
     return {"id": job_id, "team": "bookings", "class": "urgent", "upstream": "walk-desk",
             "deadline_ms": 20000,
@@ -212,11 +243,15 @@
 
 
 def submit(entry, body, wait_ms=20000):
+    """Submits a job at the entry and waits up to wait_ms for its answer; returns the Reply or None."""
     return http("POST", entry.address, f"/v1/jobs?wait_ms={wait_ms}", body, timeout=wait_ms / 1000 + 10)
 
 
 class FleetTest(unittest.TestCase):
-    """A fleet for each test, and the checks that hold for every history."""
+    """Base of the tests: starts a fleet with the example configuration for each test, and has checks.
+
+    Subclasses replace make_fleet() to start another fleet.
+    """
 
     def setUp(self):
         self.fleet = self.make_fleet()
@@ -229,7 +264,7 @@
         return Fleet()
 
     def assert_answer(self, body, reply):
-        """The answer is whole and the request's own, or a failure without any task."""
+        """Checks that an answer has every task's own result in order, or is an error without tasks."""
         self.assertIsNotNone(reply, "no answer")
         if reply.status != 200:
             self.assertNotIn("tasks", reply.body if isinstance(reply.body, dict) else {})
@@ -240,14 +275,16 @@
             self.assertEqual(json.loads(it["body"])["echo"], f"{body['id']}/{it['id']}")
 
     def assert_completed(self, body, reply):
+        """Checks that the job was answered as completed, with the result of every task."""
         self.assert_answer(body, reply)
         self.assertEqual((reply.status, reply.body.get("outcome")), (200, "completed"), reply.body)
 
     def assert_started_at_most_once(self):
+        """Checks that no task was started more than once, counted over all upstreams."""
         doubled = {it: n for it, n in self.fleet.starts().items() if n > 1}
         self.assertEqual(doubled, {}, "tasks started more than once")
 
     def assert_not_run(self, body):
-        """No start of any task of the job is recorded."""
+        """Checks that no upstream has started a task of the job."""
         key = f"{body['team']}/{body['id']}"
         self.assertEqual([it for it in self.fleet.starts() if it[0] in (key, body["id"])], [])
--- a/tests/system/path_test.py
+++ b/tests/system/path_test.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: submit, join, query, cancel, bad requests, shutdown."""
+"""System test of the entry and agent roles: submit, query and cancel jobs, bad requests, shutdown."""
 import signal
 import socket
 import unittest
@@ -7,6 +7,9 @@
 
 
 class PathTest(FleetTest):
+    """Tests without process failures; see fault_test.py for those."""
+
+    # Guards against tasks that are lost or run twice in the smallest and the largest job.
     def test_jobs_of_1_and_370_tasks_complete(self):
         for tasks in (1, 370):
             body = job(tasks=tasks, run_ms=20)
@@ -14,7 +17,8 @@
         self.assertEqual(sum(self.fleet.starts().values()), 371)
         self.assert_started_at_most_once()
 
-    # The same job at two entries at once must run once and give both callers the same answer.
+    # Guards against running a job twice when its submissions reach its home through two entries: it
+    # must run once, and all callers get the same answer.
     def test_the_same_job_at_two_entries_at_once_runs_once(self):
         for _ in range(5):
             body = job(tasks=4, run_ms=100)
@@ -26,6 +30,8 @@
         self.assertEqual(sum(self.fleet.starts().values()), 20)
         self.assert_started_at_most_once()
 
+    # Guards against an answer that only the entry of the submission knows, and against an answer other
+    # than 404 for a job that was never submitted.
     def test_the_answer_can_be_asked_for_later_at_any_entry(self):
         body = job(run_ms=300)
         reply = submit(self.fleet.entries[0], body, wait_ms=0)
@@ -35,6 +41,7 @@
         unknown = http("GET", self.fleet.entries[1].address, "/v1/jobs/bookings/never-submitted")
         self.assertEqual(unknown.status, 404, unknown.body)
 
+    # Guards against a job that is answered with the results of another job of the same id.
     def test_another_job_under_the_same_id_is_refused(self):
         body = job()
         self.assert_completed(body, submit(self.fleet.entries[0], body))
@@ -42,7 +49,8 @@
         self.assertEqual(submit(self.fleet.entries[1], other).status, 409)
         self.assertEqual(sum(self.fleet.starts().values()), 3)
 
-    # Bad requests start nothing and other callers do not notice.
+    # Guards against malformed and oversized requests that start tasks, end the entry or get an answer
+    # without an error text: a valid job completes afterwards.
     def test_bad_requests_are_refused_with_the_field(self):
         entry = self.fleet.entries[0]
         good = job()
@@ -63,7 +71,8 @@
         self.assertEqual(sum(self.fleet.starts().values()), 0)
         self.assert_completed(good, submit(entry, good))
 
-    # Half-open clients must be dropped and must not hold up others.
+    # Guards against clients that never complete their request: the entry must close their connections
+    # within 40 s, and other callers must get their answers meanwhile.
     def test_slow_clients_are_dropped_and_others_do_not_notice(self):
         entry = self.fleet.entries[0]
         host, port = entry.address.split(":")
@@ -77,6 +86,8 @@
             self.assertIn(it.recv(1)[:1], (b"", b"H"))  # closed, or a timeout response first
             it.close()
 
+    # Guards against "not_run" as the answer of a cancelled job whose tasks had started, and against
+    # cancelled tasks that keep their slots.
     def test_a_cancelled_job_stops_and_never_claims_not_run_wrongly(self):
         body = job(run_ms=5000)
         call = in_background(submit, self.fleet.entries[0], body)
@@ -89,7 +100,7 @@
         wait_until("free slots", lambda: sum(
             metric(it.address, "cactuscove_upstream_free_slots") for it in self.fleet.agents) == 24)
 
-    # A caller that was told not_run must be able to rely on it.
+    # Guards against starting part of a job when one of its tasks needs more than any upstream offers.
     def test_a_job_that_can_never_run_is_refused_at_once(self):
         body = job()
         body["tasks"][2]["needs"] = {"accelerator": 64}
@@ -98,6 +109,8 @@
         self.assertEqual(reply.body["reason"], "cannot_run")
         self.assert_not_run(body)
 
+    # Guards against answers that are lost, and tasks that start twice, when an entry and an agent get
+    # SIGTERM while jobs run.
     def test_a_graceful_shutdown_of_every_role_cuts_off_no_request(self):
         jobs = [job(tasks=5, run_ms=700) for _ in range(12)]
         calls = [in_background(submit, self.fleet.entries[n % 2], it) for n, it in enumerate(jobs)]
@@ -114,7 +127,7 @@
         self.assert_completed(after, submit(self.fleet.entries[1], after))
         self.assert_started_at_most_once()
 
-    # An upstream that leaves finishes what runs there and gets nothing new.
+    # Guards against starting tasks on an upstream that has told its agent that it leaves.
     def test_a_leaving_upstream_gets_no_new_work(self):
         self.fleet.upstreams[0].signal(signal.SIGTERM)
         wait_until("leave", lambda: metric(self.fleet.agents[0].address, "cactuscove_upstream_slots") == 0)
