--- a/tests/system/dispatch_test.py
+++ b/tests/system/dispatch_test.py
@@ -1,4 +1,7 @@
-"""The dispatch roles as real processes: the whole path, shutdown, configuration, lost parts."""
+"""System test of the dispatch roles: jobs, shutdown, lost agents and entries, configuration, start.
+
+soak.py tests the same processes under random faults.
+"""
 import json
 import os
 import signal
@@ -10,6 +13,8 @@
 
 
 class DispatchTest(unittest.TestCase):
+    """A fleet for each test. After each test, the runs are checked against the answers of all jobs."""
+
     def setUp(self):
         self.fleet = DispatchFleet()
         self.addCleanup(self.fleet.stop)
@@ -22,7 +27,7 @@
         self.assertEqual([it.overbooked for it in self.fleet.workers if it.overbooked], [])
 
     def submit(self, count=1, entry=None, **fields):
-        """Answers of that many jobs, sent one after the other."""
+        """Sends jobs one after the other and returns their answers; `fields` go to make_job()."""
         caller = Caller(self.fleet, seed=1)
         if entry:
             caller.connect(entry)
@@ -34,44 +39,50 @@
             caller.close()
 
     def keep_submitting(self, callers, until, **fields):
-        """Starts callers that send one job after the other until the event is set."""
-        def work(seed):
+        """Starts callers that send one job after the other until the event `until` is set.
+
+        Returns their threads.
+        """
+        def submit_jobs(seed):
             caller = Caller(self.fleet, seed)
             while not until.is_set():
                 job = self.fleet.make_job(**fields)
                 self.jobs.append(job)
                 caller.submit(job)
             caller.close()
-        return in_threads([lambda seed=n: work(seed) for n in range(callers)])
+        return in_threads([lambda seed=n: submit_jobs(seed) for n in range(callers)])
 
     def wait_answers(self, count=50):
-        """Until that many more answers have come."""
+        """Waits until `count` more submissions have been answered."""
         def answered():
             return sum(it.answer is not None for job in list(self.jobs) for it in job.submissions)
         before = answered()
         wait_until("answers", lambda: answered() >= before + count)
 
-    # Every task of every job runs once, and the answer says so.
+    # Guards against tasks that run twice or not at all without any fault: 20 jobs of 4 tasks at each
+    # of the 2 entries give 160 runs.
     def test_the_whole_path(self):
         for entry in self.fleet.entries:
             answers = self.submit(20, entry, tasks=4, run_ms=20)
             self.assertEqual({it.state for it in answers}, {"completed"})
         self.assertEqual(len(self.fleet.history), 160)
 
-    # A task that fails as often as its queue allows ends the job; one that fails less is repeated.
+    # Guards against a job that fails although its task succeeds within the 3 attempts of its queue, and
+    # against a task that is repeated more often.
     def test_failing_tasks(self):
         self.assertEqual(self.submit(1, tasks=1, fails=2)[0].state, "completed")
         self.assertEqual(self.submit(1, tasks=1, fails=5)[0].state, "failed")
 
-    # Guards against taking all workers for slow, and so refusing everything, where it is the
-    # expected run times that are wrong.
+    # Guards against taking workers for slow because the expected run time of the queue is wrong: with
+    # all workers regarded as slow, every job would be refused.
     def test_runs_of_very_different_length_in_one_queue(self):
         answers = []
         for run_ms in (10, 10, 900, 10, 10, 900, 10, 10, 10, 900) * 2:
             answers += self.submit(1, tasks=4, run_ms=run_ms, cpu=250)
         self.assertEqual([it.state for it in answers], ["completed"] * 20)
 
-    # What is not built is refused by name, and nothing of it starts.
+    # Guards against running a job that asks for an unsupported feature, here `gang`: it must be refused
+    # before any of its tasks starts.
     def test_an_unsupported_job_is_refused(self):
         job = self.fleet.make_job()
         body = json.loads(job.body)
@@ -82,7 +93,8 @@
         caller.close()
         self.assertEqual(self.fleet.history, [])
 
-    # Around SIGTERM no answer is lost: callers use their open connections until they are told.
+    # Guards against answers that are lost when an entry gets SIGTERM: callers keep using their open
+    # connections until an answer carries "Connection: close".
     def test_shutdown_of_an_entry_loses_no_answer(self):
         stop = threading.Event()
         threads = self.keep_submitting(8, stop, tasks=2, run_ms=60)
@@ -98,7 +110,8 @@
         unanswered = [it for job in self.jobs for it in job.submissions if it.answer is None]
         self.assertEqual(unanswered, [])
 
-    # An agent that stops or dies costs its own tasks a repeat, no job its answer.
+    # Guards against jobs that fail and callers that wait forever when an agent ends: only the tasks
+    # that it had started may have to run again.
     def test_agents_that_stop_and_die(self):
         stop = threading.Event()
         threads = self.keep_submitting(6, stop, tasks=2, run_ms=60)
@@ -117,14 +130,15 @@
         self.fleet.wait_ready()
         wait_until("room at the restarted agent", lambda: self.submit(1)[0].state == "completed")
 
-    # Agents wait longer and longer before they dial a lost entry again. Guards against an entry that
-    # is back and refuses jobs for want of agents: the others tell their agents of it.
+    # Agents wait longer after each failed connection to an entry. Guards against a restarted entry that
+    # refuses jobs because no agent is connected yet: the other entries tell the agents of its return.
     def test_an_entry_that_is_back_has_its_agents_soon(self):
         entry = self.fleet.entries[0]
         for _ in range(3):
             dials = self.fleet.accepted("link1")
             self.fleet.kill(entry)
-            # Five by each agent and three by the other entry: by then each agent pauses for 1 s.
+            # 18 failed connections: five of each of the 3 agents and three of the other entry. After
+            # five, an agent waits 1 s, which is more than the bound below.
             wait_until("dials", lambda n=dials: self.fleet.accepted("link1") >= n + 18)
             self.fleet.start(entry)
             wait_until("start", lambda: http("GET", entry.metrics, "/metrics", timeout=1))
@@ -132,7 +146,8 @@
                 entry.metrics, "cactuscove_up_members") == len(self.fleet.agents))
             self.assertLess(seconds, 0.3)
 
-    # A new version is in force at every entry within its bound, and again after a restart.
+    # Guards against an entry that takes longer than config_apply_ms (2 s) to apply a new configuration,
+    # or does not load it after a restart.
     def test_configuration(self):
         self.assertEqual(self.submit(1, queue="later")[0].status, 404)
         self.fleet.apply_config(["later"])
@@ -145,7 +160,8 @@
         wait_until("queue after the restart", lambda: (
             self.submit(1, self.fleet.entries[0], queue="later")[0] or (0, "", ""))[1] == "completed")
 
-    # A signal that comes while the process starts is handled once it runs.
+    # Guards against SIGTERM ending a process abnormally while it starts: the settings come through a
+    # pipe, which holds the process in its start until the signal is sent.
     def test_a_signal_during_the_start(self):
         entry = self.fleet.entries[0]
         self.fleet.kill(entry)
@@ -154,12 +170,12 @@
         entry.settings += ".pipe"
         os.mkfifo(entry.settings)
         self.fleet.start(entry)
-        with open(entry.settings, "w", encoding="utf-8") as pipe:  # waits for the reader
+        with open(entry.settings, "w", encoding="utf-8") as pipe:  # waits until the process opens it
             entry.process.send_signal(signal.SIGTERM)
             pipe.write(settings)
         self.assertEqual(entry.process.wait(GRACE_S), 0)
 
-    # Flags that are wrong are named, and the process does not start.
+    # Guards against starting without settings: an unreadable file must be reported, with status 2.
     def test_wrong_flags(self):
         entry = self.fleet.entries[0]
         self.fleet.kill(entry)
--- a/tests/system/dispatchfleet.py
+++ b/tests/system/dispatchfleet.py
@@ -1,7 +1,8 @@
-"""Runs real dispatch processes on loopback beside the stand-ins of the platform.
+"""Starts real processes of the dispatch roles on loopback, with the stand-ins of platformstandin.py.
 
-Each instance has an address of its own in 127.0.0.0/8. Proxies stand between callers and entries,
-agents and entries, agents and workers, and before the store.
+Used by dispatch_test.py and soak.py. Each instance has its own IP address in 127.0.0.0/8. A
+cuttingproxy process stands between callers and each entry, agents and each entry, the agent and each
+worker, and all instances and the store, so that tests can disturb these connections.
 """
 import collections
 import http.client
@@ -18,10 +19,13 @@
 from fleet import BIN, Process, http as call, metric, wait_until
 from platformstandin import Store, Worker
 
-ENTRY, AGENT, WORKER, LINK, CALLER, STORE = range(1, 7)  # third number of an address
+# Third byte of an address 127.NETWORK.KIND.N. LINK and CALLER are proxies: LINK for the connections
+# of agents and other entries to entry N (or, with N > 100, of an agent to worker N - 100), CALLER for
+# the connections of callers to entry N. STORE 1 is the store, STORE 2 the proxy before it.
+ENTRY, AGENT, WORKER, LINK, CALLER, STORE = range(1, 7)
 LINK_PORT, METRICS_PORT, CALLER_PORT, READY_PORT, WORKER_PORT, STORE_PORT = range(7720, 7726)
-GRACE_S = 6
-RESUBMIT_S = 1.3
+GRACE_S = 6       # time in which a process must end after SIGTERM, as bounds.grace_s in SETTINGS
+RESUBMIT_S = 1.3  # time after which a caller without an answer sends its job again
 
 SETTINGS = """node_name = "{name}"
 ip = "{ip}"
@@ -45,36 +49,48 @@
 
 
 class Instance:
-    """One machine of a role and its process, which may be away."""
+    """The address and settings of one entry or agent, and its process if one was started.
+
+    A restart keeps the Instance and replaces its process.
+    """
 
     def __init__(self, role, name, ip, own, settings):
         self.role = role
         self.name = name
-        self.ip = ip    # where the other instances reach it
-        self.own = own  # where it listens
-        self.settings = settings
+        self.ip = ip    # IP address that it tells the other instances: the proxy's for an entry
+        self.own = own  # IP address that it listens on
+        self.settings = settings  # path of the settings file
         self.process = None
-        self.metrics = f"{ip}:{METRICS_PORT}"
+        self.metrics = f"{ip}:{METRICS_PORT}"  # address of its metrics
 
     def is_running(self):
         return self.process is not None and self.process.poll() is None
 
     def handles(self, number):
-        """Whether the process has taken over the signal; before its program runs, no code can."""
+        """Whether the process blocks or catches the signal.
+
+        Between fork and the first code of the program it does neither, and a signal ends the process.
+        """
         with open(f"/proc/{self.process.pid}/status", encoding="utf-8") as file:
             masks = [int(it.split()[1], 16) for it in file if it.startswith(("SigBlk", "SigCgt"))]
         return any(it >> (number - 1) & 1 for it in masks)
 
 
 class DispatchFleet:
+    """A store, entries, agents with one worker each, and the proxies between them.
+
+    `seed` selects the clock rates of the workers, `cpu` is the capacity of each worker in thousandths
+    of a core. The constructor starts all processes without waiting for them; see wait_ready().
+    """
+
     def __init__(self, entries=2, agents=3, seed=0, cpu=4000):
         self.random = random.Random(seed)
-        self.network = 10 + os.getpid() % 240
-        self.directory = tempfile.mkdtemp(prefix="cactuscove-dispatch-")
-        self.history = []
-        self.proxies = {}  # by name
-        self.children = []
-        self.version = 0
+        self.network = 10 + os.getpid() % 240  # second byte of all addresses; differs between runs
+        self.directory = tempfile.mkdtemp(prefix="cactuscove-dispatch-")  # settings and output
+        self.history = []  # ended runs of all workers, in the order of their end
+        self.proxies = {}  # address of the control interface, by name of the proxy
+        self.children = []  # all processes that were ever started
+        self.version = 0  # of the configuration that was written last
         self.store = Store(f"{self.ip(STORE, 1)}:{STORE_PORT}")
         self.start_proxy("store", self.ip(STORE, 2), STORE_PORT, self.ip(STORE, 1))
         self.apply_config()
@@ -84,90 +100,104 @@
         for n, agent in enumerate(self.agents):
             name = f"worker{n + 1}"
             self.start_proxy(name, self.ip(LINK, n + 101), WORKER_PORT, self.ip(WORKER, n + 1))
-            # Workers' clocks may be 2% slow.
+            # The protocol allows a worker's clock to be 2% slow.
             self.workers.append(Worker(
                 f"{self.ip(WORKER, n + 1)}:{WORKER_PORT}", f"{agent.own}:{WORKER_PORT}",
                 self.history, "desk", cpu, clock_rate=self.random.choice([1.0, 0.98]),
                 announced=f"{self.ip(LINK, n + 101)}:{WORKER_PORT}"))
-        for it in self.entries + self.agents:
-            self.start(it)
+        for instance in self.entries + self.agents:
+            self.start(instance)
 
     def ip(self, kind, n):
+        """IP address of the n-th (from 1) of a kind: ENTRY, AGENT, WORKER, LINK, CALLER or STORE."""
         return f"127.{self.network}.{kind}.{n}"
 
     def make_instance(self, role, n):
+        """Writes the settings of the n-th entry or agent, and starts the proxies of an entry."""
         name = f"{role}{n}"
         own = self.ip(ENTRY if role == "entry" else AGENT, n)
         ip = self.ip(LINK, n) if role == "entry" else own
         if role == "entry":
             self.start_proxy(f"link{n}", ip, LINK_PORT, own)
             self.start_proxy(f"caller{n}", self.ip(CALLER, n), CALLER_PORT, own)
-        it = Instance(role, name, ip, own, os.path.join(self.directory, name + ".toml"))
-        self.write_settings(it)
-        return it
+        instance = Instance(role, name, ip, own, os.path.join(self.directory, name + ".toml"))
+        self.write_settings(instance)
+        return instance
 
-    def write_settings(self, it):
+    def write_settings(self, instance):
+        """Writes the settings file; a process reads it at its start and at SIGHUP."""
         seeds = ", ".join(f'"{self.ip(LINK, n)}:{LINK_PORT}"' for n in (1, 2))
-        with open(it.settings, "w", encoding="utf-8") as file:
+        with open(instance.settings, "w", encoding="utf-8") as file:
             file.write(SETTINGS.format(
-                name=it.name, ip=it.ip, own=it.own, seeds=seeds, link_port=LINK_PORT,
+                name=instance.name, ip=instance.ip, own=instance.own, seeds=seeds, link_port=LINK_PORT,
                 metrics_port=METRICS_PORT, caller_port=CALLER_PORT, ready_port=READY_PORT,
                 worker_port=WORKER_PORT, store=f"{self.ip(STORE, 2)}:{STORE_PORT}"))
 
     # Processes
 
     def start_proxy(self, name, ip, port, target):
+        """Starts a proxy that passes connections to ip:port on to the same port of `target`."""
         process = Process(f"proxy-{name}", self.directory,
                           ["cuttingproxy", f"--listen={ip}:{port}", f"--target={target}:{port}"])
         self.children.append(process.child)
         self.proxies[name] = re.search(r"control (\S+)", process.log()).group(1)
 
-    def start(self, it):
-        command = [os.path.join(BIN, "cactuscove"), f"dispatch-{it.role}", f"--settings={it.settings}"]
-        if it.role == "entry":
-            command.append(f"--link-listen={it.own}:{LINK_PORT}")
-        with open(os.path.join(self.directory, it.name + ".log"), "ab") as out:
-            it.process = subprocess.Popen(command, stdout=out, stderr=subprocess.STDOUT)
-        self.children.append(it.process)
-
-    def kill(self, it):
-        it.process.kill()
-        it.process.wait()
-
-    def log_of(self, it):
-        with open(os.path.join(self.directory, it.name + ".log"), encoding="utf-8") as file:
+    def start(self, instance):
+        """Starts a process of the instance; its output is appended to that of earlier ones."""
+        command = [os.path.join(BIN, "cactuscove"), f"dispatch-{instance.role}",
+                   f"--settings={instance.settings}"]
+        if instance.role == "entry":
+            command.append(f"--link-listen={instance.own}:{LINK_PORT}")
+        with open(os.path.join(self.directory, instance.name + ".log"), "ab") as out:
+            instance.process = subprocess.Popen(command, stdout=out, stderr=subprocess.STDOUT)
+        self.children.append(instance.process)
+
+    def kill(self, instance):
+        """Sends SIGKILL to the process of the instance and waits for its end."""
+        instance.process.kill()
+        instance.process.wait()
+
+    def log_of(self, instance):
+        """Output of all processes of the instance so far."""
+        with open(os.path.join(self.directory, instance.name + ".log"), encoding="utf-8") as file:
             return file.read()
 
     def harm(self, proxy, method, path, body=None):
+        """Sends a request to a proxy's control interface; tools/cuttingproxy.cpp lists the requests."""
         call(method, self.proxies[proxy], path, body, timeout=2)
 
     def accepted(self, proxy):
-        """Connections that the proxy has accepted so far."""
+        """Number of connections that the proxy has accepted so far."""
         return call("GET", self.proxies[proxy], "/connections").body["accepted"]
 
     def is_ready(self, entry):
+        """Whether the entry says that it is ready and has a connection to every agent."""
         reply = call("GET", f"{entry.own}:{READY_PORT}", "/-/readyz", timeout=1)
         return (reply is not None and reply.status == 200
                 and metric(entry.metrics, "cactuscove_up_members") == len(self.agents))
 
     def wait_ready(self, limit=20):
-        """Every entry is connected to every agent, and each worker is looked after by its agent."""
+        """Waits until all entries are ready and all workers have a lease; returns the seconds."""
         return wait_until("ready fleet", lambda: all(self.is_ready(it) for it in self.entries)
-                          and all(it.is_looked_after() for it in self.workers), limit)
+                          and all(it.has_valid_lease() for it in self.workers), limit)
 
     def stop(self):
-        for it in self.workers:
-            it.stop()
+        """Stops the stand-ins and kills all processes."""
+        for worker in self.workers:
+            worker.stop()
         self.store.stop()
-        for it in self.children:
-            if it.poll() is None:
-                it.kill()
-                it.wait()
+        for child in self.children:
+            if child.poll() is None:
+                child.kill()
+                child.wait()
 
-    # Operators
+    # Configuration
 
     def apply_config(self, extra_queues=()):
-        """Puts the next version in force: `urgent` (priority 0) and `bulk`, and the names given."""
+        """Writes the next version of the configuration to the store.
+
+        Its queues are `urgent`, `bulk` and extra_queues, with priorities 0, 1, 2 and so on.
+        """
         self.version += 7
         queue = {"host": "walks.example", "service": "desk", "attempts": 3, "slack_factor": 2.0,
                  "target_latency_ms": 400, "timeout_ms": 4000}
@@ -176,40 +206,53 @@
         self.store.write("keyed.op", "config",
                          json.dumps({"version": self.version, "routes": routes, "services": []}))
 
-    # Callers
+    # Jobs
 
     def make_job(self, tasks=3, run_ms=50, cpu=500, queue="urgent", **spec):
+        """Makes a job whose tasks run for run_ms and need `cpu` thousandths of a core each.
+
+        `spec` holds further fields of the task specification; see Worker.
+        """
         body = {"best_effort": True, "spec": json.dumps({"cpu": cpu, "run_ms": run_ms, **spec}),
                 "phases": [{"count": tasks, "cpu": cpu, "mem_mb": 16, "est_runtime_ms": run_ms}]}
         return Job(uuid.uuid4().hex[:16], queue, tasks, json.dumps(body))
 
 
+# HTTP status, "state" of the body if the status is 200, and the Retry-After header, if any.
 Answer = collections.namedtuple("Answer", "status state retry_after")
+# One attempt of a caller: name of the entry, monotonic times in seconds, Answer or None.
 Submission = collections.namedtuple("Submission", "entry sent answered answer")
 
 
 class Job:
+    """A job as its caller sees it, with all its submissions in the order in which they ended."""
+
     def __init__(self, job_id, queue, tasks, body):
         self.id = job_id
-        self.queue = queue
-        self.tasks = tasks
-        self.body = body
+        self.queue = queue  # name of the queue
+        self.tasks = tasks  # number of tasks
+        self.body = body    # JSON text
         self.submissions = []
 
     def answer(self):
+        """Answer of the last submission; None if that had none or there was no submission."""
         return self.submissions[-1].answer if self.submissions else None
 
 
 class Caller:
-    """One caller; it keeps its connection to an entry until that is gone."""
+    """One caller; it keeps its connection to an entry until the entry closes it or a call fails.
+
+    `seed` selects the entries that it connects to. A Caller is used by one thread at a time.
+    """
 
     def __init__(self, fleet, seed):
         self.fleet = fleet
         self.random = random.Random(seed)
         self.connection = None
-        self.entry = None
+        self.entry = None  # to which `connection` leads, or led last
 
     def connect(self, entry):
+        """Leaves the current connection; the next submission connects to `entry`."""
         self.close()
         self.entry = entry
         host = f"{self.fleet.ip(CALLER, self.fleet.entries.index(entry) + 1)}:{CALLER_PORT}"
@@ -221,9 +264,10 @@
         self.connection = None
 
     def submit_once(self, job, deadline_ms=4000, patience_s=None):
-        """Sends the job to the connected entry; the answer is None if there is none.
+        """Sends the job once and returns its Answer, or None without one.
 
-        The caller leaves after patience_s, if that is sooner than its deadline.
+        Goes to the entry of the current connection, or else to an entry chosen at random. The caller
+        closes the connection if the answer takes longer than patience_s (default: the deadline).
         """
         patience_s = patience_s or deadline_ms / 1000
         if not self.connection:
@@ -249,9 +293,10 @@
         return answer
 
     def submit(self, job, attempts=4, patience_s=None):
-        """As the platform's callers do: without an answer the same job goes to some entry again.
+        """Sends the job until there is an answer other than 502 and 504, as the platform's callers do.
 
-        `patience_s` holds for the first attempt.
+        Returns that Answer, or None after the given number of attempts. `patience_s` applies to the
+        first attempt only.
         """
         for n in range(attempts):
             answer = self.submit_once(job, patience_s=patience_s if n == 0 else None)
@@ -262,22 +307,24 @@
 
 
 def in_threads(functions):
+    """Starts one daemon thread for each function and returns the threads."""
     threads = [threading.Thread(target=it, daemon=True) for it in functions]
     for it in threads:
         it.start()
     return threads
 
 
-REJECTED = (404, 429, 503)
+REJECTED = (404, 429, 503)  # statuses that promise that no task of the job was started
 
-# What must hold for every history; each check returns the violations as text.
+# Checks of promises that hold in every history of runs. Each returns its violations as texts.
 
 def runs_of(history, job):
+    """The ended runs of the job's tasks."""
     return [it for it in history if it.task.startswith(job.id + ".")]
 
 
 def overlapping_runs(history):
-    """A task runs at most once at a time."""
+    """Checks that no task ran twice at the same time."""
     found = []
     by_task = collections.defaultdict(list)
     for it in history:
@@ -293,7 +340,12 @@
 
 
 def untrue_answers(history, jobs, max_failures=3):
-    """A refused job ran nothing, a completed one all its tasks, a failed one has failed."""
+    """Checks that the answer of each job agrees with the runs of its tasks.
+
+    Of a job whose submissions were all rejected, no task may have run. Of a job answered as
+    completed, every task must have a run that ended as done. Of a job answered as failed, some task
+    must have failed max_failures times.
+    """
     found = []
     for job in jobs:
         answer = job.answer()
--- a/tests/system/platformstandin.py
+++ b/tests/system/platformstandin.py
@@ -1,6 +1,7 @@
-"""Stand-ins of the outside systems of the dispatch roles: the platform's store and its workers.
+"""Stand-ins for the systems around the dispatch roles: the platform's store and its workers.
 
-They follow the protocol and keep a history of every run, from which the tests check the promises.
+They run in threads of the test and follow the platform's protocol. Workers append every ended run to
+a history, from which dispatchfleet.py checks the answers.
 """
 import base64
 import collections
@@ -13,15 +14,21 @@
 import urllib.parse
 import uuid
 
-MAX_LEASE_MS = 1000
-STOP_MS = 20
-HEARTBEAT_S = 0.7
+MAX_LEASE_MS = 1000  # longest time for which a call extends a worker's lease
+STOP_MS = 20         # time from a stop call to the end of the run
+HEARTBEAT_S = 0.7    # time between a worker's reports to its agent
 
+# An ended run. `worker` is the id of the worker's incarnation; begin and end are monotonic times in
+# seconds; `how` is "done", "failed", "stopped" (by a call), "lapsed" (with the lease) or "crashed".
 Run = collections.namedtuple("Run", "task attempt worker begin end how")
 
 
 class Server(http.server.ThreadingHTTPServer):
-    """Calls handle(method, path, query, headers, body), which returns (status, body bytes)."""
+    """An HTTP server that answers with handle(method, path, query, headers, body).
+
+    `handle` returns (status, body bytes), or None to close the connection without an answer. Each
+    connection has its own thread.
+    """
 
     daemon_threads = True
     request_queue_size = 256
@@ -39,20 +46,22 @@
         self.server_close()
 
     def handle_error(self, request, client_address):
-        """Connections are cut on purpose; handlers report their own mistakes."""
+        """Prints nothing, because tests break connections on purpose."""
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
+    """Reads the requests of one connection of a Server and writes the answers."""
+
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
-    wbufsize = -1  # one packet an answer
+    wbufsize = -1  # buffers the output, so that an answer leaves in one packet
 
     def serve(self):
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         url = urllib.parse.urlsplit(self.path)
         answer = self.server.handle_call(self.command, url.path,
                                          dict(urllib.parse.parse_qsl(url.query)), self.headers, body)
-        if answer is None:  # no answer at all
+        if answer is None:
             self.close_connection = True
             return
         self.send_response(answer[0])
@@ -67,26 +76,34 @@
 
 
 def answer_json(status, **fields):
+    """An answer for Server with the fields as a JSON object."""
     return status, json.dumps(fields).encode()
 
 
 class Store:
-    """The metadata store: a log of records by topic. Mode: None, or "down", "busy", "silent"."""
+    """The metadata store: one log of records for each topic.
+
+    A record is one byte with the length of its key, the key, and the value. `mode` is the fault in
+    force: None, "down" (answers 503), "busy" (answers 429) or "silent" (no answer until the mode
+    changes, then the connection closes).
+    """
 
     def __init__(self, address):
         self.mode = None
         self.is_closing = False
-        self.topics = collections.defaultdict(list)  # record bodies, from offset 0
-        self.changed = threading.Condition()
+        self.topics = collections.defaultdict(list)  # records from offset 0, by topic
+        self.changed = threading.Condition()  # guards `topics`, signalled after each append
         self.server = Server(address, self.handle)
         self.address = self.server.address
 
     def write(self, topic, key, value):
+        """Appends a record, as an operator does."""
         with self.changed:
             self.topics[topic].append(bytes([len(key)]) + key.encode() + value.encode())
             self.changed.notify_all()
 
     def handle(self, method, path, query, _, body):
+        """Answers one request; called by Server."""
         if self.mode == "down":
             return answer_json(503)
         if self.mode == "busy":
@@ -105,6 +122,7 @@
         return answer_json(404)
 
     def append(self, records, body):
+        """Appends the records of the body, each after its size as a 32-bit big-endian number."""
         with self.changed:
             first = len(records)
             while body:
@@ -115,6 +133,7 @@
             return answer_json(200, offset=first, end_offset=len(records))
 
     def read(self, records, begin, wait):
+        """Answers with the records from offset `begin`; waits `wait` seconds at most for one."""
         with self.changed:
             self.changed.wait_for(lambda: len(records) > begin or self.mode, timeout=wait)
             new = records[begin:]
@@ -122,6 +141,7 @@
                 struct.pack(">I", len(it)) + it for it in new)
 
     def newest(self, records, after):
+        """Answers with the newest record of each key greater than `after`, by ascending key."""
         with self.changed:
             found = {}
             for offset, it in enumerate(records):
@@ -138,25 +158,33 @@
 
 
 class ActiveRun:
+    """A run that has not ended."""
+
     def __init__(self, attempt, spec, now, seconds):
         self.attempt = attempt
-        self.spec = spec
-        self.begin = now
-        self.seconds = seconds
-        self.stop_at = None
+        self.spec = spec        # parsed specification of the task; see Worker
+        self.begin = now        # monotonic time in seconds
+        self.seconds = seconds  # run time without faults
+        self.stop_at = None     # monotonic time of its end after a stop call
 
 
 class Worker:
-    """One worker; crash() begins another life at the same address.
+    """One worker, which runs tasks by waiting for their run time and reports to one agent.
+
+    crash() ends the current incarnation; the next one starts at the same address with a new id. The
+    specification of a task is JSON with `cpu` (thousandths of a core) and `run_ms`; with `fails`, the
+    first that many runs of the task fail. Tests set these faults:
+    slowness    factor of the run times, unless is_failing
+    is_failing  runs end as failed
+    is_hung     no run ends by itself
 
-    A task's spec is JSON with cpu (thousandths of a core) and run_ms; `fails` in it makes that many
-    first runs of the task fail. Faults: `slowness` (factor), `is_failing` (all new runs end failed),
-    `is_hung` (nothing ends by itself).
+    `address` is where it listens, `agent` where it sends its heartbeats, `announced` the address in
+    the heartbeats if that differs. Its clock advances clock_rate seconds in each second.
     """
 
     def __init__(self, address, agent, history, service, cpu=4000, clock_rate=1.0, announced=None):
         self.history = history
-        self.agent = agent  # where it reports
+        self.agent = agent
         self.service = service
         self.cpu = cpu
         self.clock_rate = clock_rate
@@ -164,37 +192,40 @@
         self.is_failing = False
         self.is_hung = False
         self.is_closing = False
-        self.overbooked = []  # (task, cpu in use) of starts beyond the capacity
-        self.changed = threading.Condition()
-        self.begin_life()
+        self.overbooked = []  # (task, cpu in use before) of each start beyond the capacity
+        self.changed = threading.Condition()  # guards the state of the incarnation
+        self.begin_incarnation()
         self.server = Server(address, self.handle)
         self.announced = announced or self.server.address
-        threading.Thread(target=self.work, daemon=True).start()
-        threading.Thread(target=self.report, daemon=True).start()
+        threading.Thread(target=self.run_tasks, daemon=True).start()
+        threading.Thread(target=self.send_heartbeats, daemon=True).start()
 
-    def begin_life(self):
+    def begin_incarnation(self):
+        """Sets the state that a crash loses."""
         self.id = "i-" + uuid.uuid4().hex[:8]
-        self.born = int(time.time() * 1000)
+        self.born = int(time.time() * 1000)  # start of the incarnation, ms since 1970
         self.started = time.monotonic()
-        self.lease_until = 0.0  # on its clock
-        self.active = {}
-        self.ended = []  # (number, task, attempt, how)
-        self.last_number = 0
-        self.tombstones = {}  # highest attempt stopped or ended
-        self.sequence = 0
+        self.lease_until = 0.0  # clock() at which all runs end unless the lease is extended, ms
+        self.active = {}  # ActiveRun by task
+        self.ended = []  # (number, task, attempt, how) that the agent has not acknowledged
+        self.last_number = 0  # of the run that ended last
+        self.tombstones = {}  # highest attempt that was stopped or has ended, by task
+        self.sequence = 0  # number of heartbeats sent
 
     def clock(self):
+        """The worker's own clock in ms, from 1000 at the start of the incarnation."""
         return 1000 + (time.monotonic() - self.started) * 1000 * self.clock_rate
 
-    def is_looked_after(self):
-        """Its lease has been extended in the last second."""
+    def has_valid_lease(self):
+        """Whether the lease is in force: an agent has extended it within the last MAX_LEASE_MS."""
         return self.clock() < self.lease_until
 
     def crash(self):
+        """Ends all runs and the incarnation at once, and begins the next incarnation."""
         with self.changed:
             for task in list(self.active):
                 self.end(task, "crashed")
-            self.begin_life()
+            self.begin_incarnation()
             self.changed.notify_all()
 
     def stop(self):
@@ -203,26 +234,30 @@
             self.changed.notify_all()
         self.server.stop()
 
-    # Runs
+    # Runs. The caller holds `changed`, except for run_tasks().
 
     def used(self):
+        """Thousandths of a core that the active runs take."""
         return sum(it.spec["cpu"] for it in self.active.values())
 
     def end(self, task, how):
+        """Ends an active run; `how` is one of the values of Run."""
         run = self.active.pop(task)
         self.history.append(Run(task, run.attempt, self.id, run.begin, time.monotonic(), how))
         self.tombstones[task] = max(run.attempt, self.tombstones.get(task, 0))
         self.last_number += 1
         self.ended.append((self.last_number, task, run.attempt, how))
 
-    def next_event(self, run, now):
+    def end_time(self, run, now):
+        """Monotonic time in seconds at which the run ends under the present faults."""
         if run.stop_at is not None:
             return run.stop_at
         if self.is_hung:
             return float("inf")
         return run.begin + run.seconds * (1.0 if self.is_failing else self.slowness)
 
-    def work(self):
+    def run_tasks(self):
+        """Ends runs when their time has come or the lease has lapsed; has its own thread."""
         with self.changed:
             while not self.is_closing:
                 now = time.monotonic()
@@ -230,24 +265,26 @@
                     for task in list(self.active):
                         self.end(task, "lapsed")
                 for task, run in list(self.active.items()):
-                    if now >= self.next_event(run, now):
+                    if now >= self.end_time(run, now):
                         self.end(task, self.result_of(task, run))
                 self.changed.notify_all()
-                nearest = min((self.next_event(it, now) for it in self.active.values()),
+                nearest = min((self.end_time(it, now) for it in self.active.values()),
                               default=now + 0.5)
                 lease = (self.lease_until - self.clock()) / 1000 if self.active else 0.5
                 self.changed.wait(max(0.001, min(nearest - now, lease + 0.001, 0.5)))
 
     def result_of(self, task, run):
+        """How a run that ends by itself or after a stop call ends; see Run."""
         if run.stop_at is not None:
             return "stopped"
         wanted = run.spec.get("fails", 0)
         failed = wanted and sum(it.task == task and it.how == "failed" for it in self.history)
         return "failed" if self.is_failing or failed < wanted else "done"
 
-    # Calls
+    # Requests of the agent. Those with Expect-Instance are for that incarnation only.
 
     def handle(self, _, path, __, headers, body):
+        """Answers one request; called by Server. The other functions are called with `changed` held."""
         fields = json.loads(body)
         with self.changed:
             if headers.get("Expect-Instance") not in (None, self.id):
@@ -259,15 +296,21 @@
             return self.hold(fields) if path == "/-/hold" else answer_json(404)
 
     def extend_lease(self, fields):
+        """Extends the lease up to `deadline_ms` on the worker's clock, but by MAX_LEASE_MS at most."""
         if "deadline_ms" in fields:
             until = min(fields["deadline_ms"], self.clock() + MAX_LEASE_MS)
             self.lease_until = max(self.lease_until, until)
             self.changed.notify_all()
 
     def reject(self, reason):
+        """The answer to a start that the worker does not carry out."""
         return answer_json(409, clock_ms=int(self.clock()), reason=reason)
 
     def start_run(self, fields):
+        """Starts a run, unless the call is late or the attempt is older than one that it knows of.
+
+        A repeated call for the active attempt is answered as the first one was.
+        """
         task, attempt, clock = fields["task"], fields["attempt"], self.clock()
         if clock > fields["deadline_ms"]:
             return self.reject("late")
@@ -284,6 +327,7 @@
         return answer_json(200, clock_ms=int(clock))
 
     def stop_run(self, fields):
+        """Stops the task's active run up to this attempt, and bars starts of these attempts."""
         task, attempt = fields["task"], fields["attempt"]
         self.tombstones[task] = max(attempt, self.tombstones.get(task, 0))
         run = self.active.get(task)
@@ -293,12 +337,16 @@
         return answer_json(200, clock_ms=int(self.clock()))
 
     def hold(self, fields):
-        life = self.id
+        """Extends the lease and reports the active and ended runs.
+
+        Forgets ended runs up to `acked_through`, and waits up to `wait_ms` for a run to report.
+        """
+        incarnation = self.id
         self.ended = [it for it in self.ended if it[0] > fields["acked_through"]]
         self.extend_lease(fields)
-        self.changed.wait_for(lambda: self.ended or self.id != life or self.is_closing,
+        self.changed.wait_for(lambda: self.ended or self.id != incarnation or self.is_closing,
                               timeout=fields.get("wait_ms", 0) / 1000)
-        if self.id != life:
+        if self.id != incarnation:
             return None
         now = time.monotonic()
         return answer_json(
@@ -310,7 +358,8 @@
 
     # Heartbeats
 
-    def report(self):
+    def send_heartbeats(self):
+        """Sends the worker's state to its agent every HEARTBEAT_S; has its own thread."""
         while not self.is_closing:
             with self.changed:
                 self.sequence += 1
@@ -325,7 +374,7 @@
                 call.request("PUT", path, body, {"Content-Type": "application/json"})
                 call.getresponse().read()
             except (OSError, http.client.HTTPException):
-                pass  # the agent is away; the next heartbeat tells it
+                pass  # the agent is down or unreachable; the next heartbeat reports the state again
             finally:
                 call.close()
             time.sleep(HEARTBEAT_S)
--- a/tests/system/soak.py
+++ b/tests/system/soak.py
@@ -1,10 +1,10 @@
-"""Fault soak of the dispatch roles: real processes, faults from outside in overlapping series.
+"""Soak test of the dispatch roles: real processes under load and random, overlapping faults.
 
     soak.py [--seeds LIST] [--seconds S]        LIST: 7 or 1-50 or 7,34,100-120
 
-Each seed gives one schedule of faults and one load. While the faults go on, and until the fleet has
-recovered, callers submit jobs and keep their connections until those end. Checked are the promises
-of docs/API.md for best-effort jobs, from what callers and workers see:
+Each seed gives one schedule of faults and one load. Callers submit jobs while the faults go on and
+until the fleet has recovered, and use their connections until those end. The promises of docs/API.md
+for best-effort jobs are checked from what callers and workers see:
 
 - no task runs twice at the same time, and no worker gets more than its capacity;
 - what is rejected never ran, and what is answered as completed has run to its end;
@@ -12,7 +12,8 @@
 - a process ends by itself only after SIGTERM, with status 0 and within the grace time;
 - once the faults are over, jobs complete again within RECOVERY_S.
 
-With a violation the logs are kept and their directory is printed.
+If a promise is broken, the output of all processes and the list of faults (faults.log) are kept, and
+their directory is printed.
 """
 import argparse
 import heapq
@@ -28,32 +29,38 @@
                            untrue_answers)
 from fleet import wait_until
 
-# Seeds that failed, with the cause.
+# Seeds that have found a fault; the default of --seeds.
 REGRESSIONS = [
-    7,   # SIGHUP ended a process that was starting: signals were handled only once all was set up
+    7,   # SIGHUP ended a process during its start, because its handler was set up last
     34,  # the same with SIGTERM
 ]
 CALLERS = 8
-RECOVERY_S = 8     # with room for a worker's next heartbeat and a full proof time
-ANSWER_SLACK_S = 1  # of one machine that runs everything
-DEADLINE_MS = 4000
+RECOVERY_S = 8      # includes a worker's next heartbeat and one full proof time
+ANSWER_SLACK_S = 1  # answers may be late by this much, because one machine runs all processes
+DEADLINE_MS = 4000  # of all jobs, the default of Caller.submit_once()
 
 
 class Soak:
+    """The test for one seed; `seconds` is the time in which faults begin."""
+
     def __init__(self, seed, seconds):
         self.random = random.Random(seed)
         self.seed = seed
         self.seconds = seconds
         self.fleet = DispatchFleet(entries=3, agents=4, seed=seed)
-        self.jobs = []
-        self.violations = []
-        self.events = []  # (at, order, description, function)
-        self.terminated = {}  # entry or agent -> when SIGTERM was sent
-        self.is_over = threading.Event()
+        self.jobs = []  # that callers have submitted
+        self.violations = []  # texts
+        # Heap of (seconds from the begin, order, description, function). Without a description, the
+        # event is the begin of a fault and `function` one of FAULTS; else it is the end of a fault.
+        self.events = []
+        self.terminated = {}  # monotonic time of SIGTERM by name of the instance, until its restart
+        self.is_over = threading.Event()  # callers stop when it is set
 
-    # Faults. Each returns what ends it, or None.
+    # Faults. Each chooses its target at random and returns a description and a function that ends the
+    # fault (None if it ends by itself), or None alone if it does not apply to the target now.
 
     def kill(self):
+        """Kills an instance with SIGKILL; it is started again later."""
         it = self.random.choice(self.fleet.entries + self.fleet.agents)
         if not it.is_running():
             return None
@@ -62,6 +69,7 @@
         return it.name, lambda: self.restart(it)
 
     def terminate(self):
+        """Sends SIGTERM to an instance; restart() checks later that it ended in time."""
         it = self.random.choice(self.fleet.entries + self.fleet.agents)
         if not it.is_running() or it.name in self.terminated or not it.handles(signal.SIGTERM):
             return None
@@ -70,6 +78,10 @@
         return it.name, lambda: self.restart(it)
 
     def restart(self, it):
+        """Ends the faults kill and terminate: starts the instance again.
+
+        Records a violation if the process did not end with status 0 within GRACE_S after SIGTERM.
+        """
         began = self.terminated.pop(it.name, None)
         if it.is_running() and began is not None:
             left = max(0.1, began + GRACE_S - time.monotonic())
@@ -85,6 +97,7 @@
             self.fleet.start(it)
 
     def pause(self):
+        """Stops an instance with SIGSTOP; it continues later."""
         it = self.random.choice(self.fleet.entries + self.fleet.agents)
         if not it.is_running() or it.name in self.terminated:
             return None
@@ -92,48 +105,57 @@
         process.send_signal(signal.SIGSTOP)
         return it.name, lambda: process.poll() is None and process.send_signal(signal.SIGCONT)
 
-    def harm_connections(self):
+    def break_connections(self):
+        """Resets the connections of a proxy, or makes them silent in one or both directions."""
         proxy = self.random.choice(list(self.fleet.proxies))
         how = self.random.choice(["cut", "silence", "deafen"])
         self.fleet.harm(proxy, "POST", "/" + how)
         return f"{how} {proxy}", None
 
     def delay_connections(self):
+        """Delays all data through a proxy."""
         proxy = self.random.choice(list(self.fleet.proxies))
         ms = self.random.choice([20, 100, 400])
         self.fleet.harm(proxy, "PUT", "/delay", {"ms": ms})
         return f"{ms} ms {proxy}", lambda: self.fleet.harm(proxy, "PUT", "/delay", {"ms": 0})
 
     def refuse_connections(self):
+        """Resets the connections of a proxy and lets it refuse new ones."""
         proxy = self.random.choice(list(self.fleet.proxies))
         self.fleet.harm(proxy, "PUT", "/refuse", {"on": True})
         self.fleet.harm(proxy, "POST", "/cut")
         return proxy, lambda: self.fleet.harm(proxy, "PUT", "/refuse", {"on": False})
 
-    def harm_store(self):
+    def fail_store(self):
+        """Sets a fault of the store."""
         self.fleet.store.mode = self.random.choice(["down", "busy", "silent"])
-        return self.fleet.store.mode, self.mend_store
+        return self.fleet.store.mode, self.restore_store
 
-    def mend_store(self):
+    def restore_store(self):
+        """Ends the fault of the store."""
         self.fleet.store.mode = None
 
     def crash_worker(self):
+        """Ends all runs of a worker and its incarnation."""
         worker = self.random.choice(self.fleet.workers)
         worker.crash()
         return worker.announced, None
 
-    def harm_worker(self):
+    def fail_worker(self):
+        """Lets all runs of a worker fail, or none of them end."""
         worker = self.random.choice(self.fleet.workers)
         how = self.random.choice(["is_failing", "is_hung"])
         setattr(worker, how, True)
         return f"{how} {worker.announced}", lambda: setattr(worker, how, False)
 
     def slow_worker(self):
+        """Multiplies the run times of a worker."""
         worker = self.random.choice(self.fleet.workers)
         worker.slowness = self.random.choice([3.0, 6.0])
         return worker.announced, lambda: setattr(worker, "slowness", 1.0)
 
     def reload(self):
+        """Lets an instance read its settings again."""
         it = self.random.choice(self.fleet.entries + self.fleet.agents)
         if not it.is_running() or not it.handles(signal.SIGHUP):
             return None
@@ -142,15 +164,17 @@
         return it.name, None
 
     def change_config(self):
+        """Writes a new configuration, with or without the queue "later" in turn."""
         self.fleet.apply_config(["later"] if self.fleet.version % 2 else [])
         return str(self.fleet.version), None
 
-    FAULTS = (kill, kill, terminate, terminate, pause, pause, harm_connections, harm_connections,
-              delay_connections, refuse_connections, harm_store, crash_worker, harm_worker,
+    # A fault that stands here twice is twice as likely.
+    FAULTS = (kill, kill, terminate, terminate, pause, pause, break_connections, break_connections,
+              delay_connections, refuse_connections, fail_store, crash_worker, fail_worker,
               slow_worker, reload, change_config)
 
     def schedule(self):
-        """Series of one to three faults that overlap, with pauses between the series."""
+        """Schedules the begins of all faults: groups of one to three, with pauses between them."""
         at = 1.0
         while at < self.seconds:
             for _ in range(self.random.randint(1, 3)):
@@ -159,9 +183,11 @@
             at += self.random.uniform(0.5, 2.5)
 
     def at(self, at, what, function):
+        """Schedules an event; see `events`."""
         heapq.heappush(self.events, (at, len(self.events) + self.random.random(), what, function))
 
-    def play(self):
+    def run_schedule(self):
+        """Runs all events at their times; each fault that needs an end schedules it."""
         begin = time.monotonic()
         while self.events:
             at, _, what, function = heapq.heappop(self.events)
@@ -179,16 +205,18 @@
                 self.at(at + self.random.choice([0.3, 0.8, 2.0, 3.5]), f"end of {name}", end)
 
     def note(self, begin, what):
+        """Writes a line to faults.log: monotonic time, seconds since `begin`, what happened."""
         with open(self.fleet.directory + "/faults.log", "a", encoding="utf-8") as file:
             file.write(f"{time.monotonic():.3f} {time.monotonic() - begin:7.3f} {what}\n")
 
     # Load
 
-    def call(self, seed):
+    def submit_jobs(self, seed):
+        """The work of one caller: submits random jobs one after the other until is_over is set."""
         caller = Caller(self.fleet, seed)
         while not self.is_over.is_set():
-            # Long runs and callers that come back soon: what a suspended entry left behind must have
-            # ended before its job begins elsewhere.
+            # Some tasks run long and some callers submit their job again soon at another entry. The
+            # runs that a paused entry has started must end before the job starts again there.
             job = self.fleet.make_job(
                 tasks=caller.random.choice([1, 2, 3, 8]),
                 run_ms=caller.random.choice([10, 50, 200, 2500]),
@@ -200,6 +228,7 @@
         caller.close()
 
     def check_recovery(self):
+        """Checks that within RECOVERY_S every entry completes a job within its deadline."""
         caller = Caller(self.fleet, self.seed)
 
         def is_serving(entry):
@@ -219,6 +248,7 @@
         caller.close()
 
     def check_history(self):
+        """Checks the runs and answers, the times of the answers, and that all instances run."""
         history = self.fleet.history
         self.violations += overlapping_runs(history)
         self.violations += untrue_answers(history, self.jobs)
@@ -233,11 +263,13 @@
                 self.violations.append(f"{it.name} has ended: {it.process.returncode}")
 
     def run(self):
+        """Runs the whole test, stops the fleet and returns the violations."""
         try:
             self.fleet.wait_ready()
-            callers = in_threads([lambda n=n: self.call(self.seed * 100 + n) for n in range(CALLERS)])
+            callers = in_threads([lambda n=n: self.submit_jobs(self.seed * 100 + n)
+                                  for n in range(CALLERS)])
             self.schedule()
-            self.play()
+            self.run_schedule()
             self.check_recovery()
             self.is_over.set()
             for it in callers:
@@ -248,6 +280,7 @@
         return self.violations
 
     def summary(self):
+        """The numbers of jobs by answer and of runs, as text."""
         states = [it.answer() for it in self.jobs]
         completed = sum(it is not None and it.state == "completed" for it in states)
         rejected = sum(it is not None and it.status in (429, 503) for it in states)
@@ -256,6 +289,7 @@
 
 
 def seed_list(text):
+    """Parses the value of --seeds, such as 7,34,100-120."""
     seeds = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -264,10 +298,11 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description="Fault soak of the dispatch roles.")
+    parser = argparse.ArgumentParser(description="Soak test of the dispatch roles.")
     parser.add_argument("--seeds", type=seed_list, default=REGRESSIONS,
-                        help="as 7 or 1-50 or 7,34,100-120; default: the seeds that once failed")
-    parser.add_argument("--seconds", type=float, default=12.0, help="of faults for each seed")
+                        help="as 7 or 1-50 or 7,34,100-120; default: the seeds that have found faults")
+    parser.add_argument("--seconds", type=float, default=12.0,
+                        help="time in which faults begin, for each seed")
     arguments = parser.parse_args()
     failed = []
     for seed in arguments.seeds:
