--- a/tools/cuttingproxy.cpp
+++ b/tools/cuttingproxy.cpp
@@ -1,11 +1,16 @@
-// A TCP proxy for tests that harms the connections through it.
+// A TCP proxy for system tests. It passes each connection on to one target, and breaks connections
+// on request through its HTTP control interface:
 //
-//   POST /silence   open connections pass nothing any more and stay open; new ones work (SIGUSR1)
-//   POST /cut       open connections are reset (SIGUSR2)
+//   POST /silence   open connections stay open but pass nothing any more; also on SIGUSR1
+//   POST /cut       open connections are reset; also on SIGUSR2
 //   POST /deafen    open connections pass nothing from the target to the client any more
-//   PUT /delay      {ms}: every byte from now on is passed that much later
-//   PUT /refuse     {on}: new connections are refused while on
-//   GET /connections  {open, silent, accepted}
+//   PUT /delay      {ms}: data that arrives from now on is passed on that much later
+//   PUT /refuse     {on}: new connections are refused while `on` is true
+//   GET /connections  changes nothing
+//
+// The first three affect only the connections that are open at the time of the request. Each answer
+// is {open, silent, accepted}: the numbers of open connections that pass data, of silent ones, and
+// of all connections accepted so far.
 
 #include "address.h"
 #include "eventloop.h"
@@ -31,31 +36,32 @@
 namespace cactuscove {
 namespace {
 
-constexpr std::size_t ChunkBytes = 64 << 10;
-constexpr std::size_t MaxBufferedBytes = 1 << 20; // per direction; more is left to TCP
+constexpr std::size_t ChunkBytes = 64 << 10;      // read at once
+constexpr std::size_t MaxBufferedBytes = 1 << 20; // per direction; reading stops beyond it
 
-// One accepted connection and the one to the target that belongs to it.
+// Passes data between the connection of one client and its connection to the target.
 class Relay
 {
 public:
-    // `onEnd` is called once, from inside a callback of the loop.
+    // Takes over both sockets. `onEnd` is called once, when both directions are shut down or a
+    // socket has failed; the relay must not be destroyed inside this call.
     Relay(EventLoop &loop, int client, int target, std::function<void()> onEnd)
         : m_loop(loop)
         , m_onEnd(std::move(onEnd))
         , m_timer(loop, [this] { update(); })
     {
-        m_ends[0].fd = client;
-        m_ends[1].fd = target;
+        m_sides[0].fd = client;
+        m_sides[1].fd = target;
         for (int n = 0; n < 2; ++n) {
-            m_ends[n].watcher = std::make_unique<IoWatcher>(
-                loop, m_ends[n].fd, [this, n](int events) { onEvents(n, events); });
+            m_sides[n].watcher = std::make_unique<IoWatcher>(
+                loop, m_sides[n].fd, [this, n](int events) { onEvents(n, events); });
         }
         update();
     }
 
     ~Relay()
     {
-        for (End &it : m_ends) {
+        for (Side &it : m_sides) {
             it.watcher.reset();
             close(it.fd);
         }
@@ -67,77 +73,83 @@
     void setDelay(Duration delay) { m_delay = delay; }
     bool isSilent() const { return m_isSilent; }
 
+    // Passes nothing any more; the sockets stay open.
     void silence()
     {
         m_isSilent = true;
         m_timer.stop();
-        for (End &it : m_ends)
+        for (Side &it : m_sides)
             it.watcher->watch(IoWatcher::None);
     }
 
+    // Reads nothing from the target any more.
     void deafen()
     {
         m_isDeaf = true;
         update();
     }
 
-    // With this option, close() sends a reset in place of an orderly end.
-    void reset()
+    // Makes the destructor reset both connections: with this option, close() sends RST, not FIN.
+    void resetOnClose()
     {
         const linger option{1, 0};
-        for (const End &it : m_ends)
+        for (const Side &it : m_sides)
             setsockopt(it.fd, SOL_SOCKET, SO_LINGER, &option, sizeof option);
     }
 
 private:
+    // Data to write at `due`.
     struct Chunk
     {
         TimePoint due;
-        std::string data; // empty: the other side has ended its direction
+        std::string data; // empty: the other socket was shut down, and this one is to be
     };
-    struct End
+    // One of the two sockets.
+    struct Side
     {
         int fd = -1;
         std::unique_ptr<IoWatcher> watcher;
-        std::deque<Chunk> outgoing;
+        std::deque<Chunk> outgoing; // read from the other socket and not yet written to this one
         std::size_t outgoingBytes = 0;
-        bool hasReadEnd = false;
-        bool hasWrittenEnd = false;
+        bool hasReadEof = false;    // the peer has shut down its direction
+        bool hasWrittenEof = false; // this direction is shut down
     };
 
     void onEvents(int n, int events)
     {
         if (m_hasEnded)
             return;
-        if ((events & IoWatcher::Readable) && !readFrom(m_ends[n], m_ends[1 - n]))
-            return end();
-        if ((events & IoWatcher::Writable) && !writeTo(m_ends[n]))
-            return end();
-        if (m_ends[0].hasWrittenEnd && m_ends[1].hasWrittenEnd)
-            return end();
+        if ((events & IoWatcher::Readable) && !readFrom(m_sides[n], m_sides[1 - n]))
+            return finish();
+        if ((events & IoWatcher::Writable) && !writeTo(m_sides[n]))
+            return finish();
+        if (m_sides[0].hasWrittenEof && m_sides[1].hasWrittenEof)
+            return finish();
         update();
     }
 
-    bool readFrom(End &from, End &to) const
+    // Reads what has arrived and queues it at the other socket; false if the connection failed.
+    bool readFrom(Side &from, Side &to) const
     {
         std::string data(ChunkBytes, '\0');
         const ssize_t n = recv(from.fd, data.data(), data.size(), 0);
         if (n < 0)
             return errno == EAGAIN || errno == EINTR;
         data.resize(static_cast<std::size_t>(n));
-        from.hasReadEnd = n == 0;
+        from.hasReadEof = n == 0;
         to.outgoingBytes += data.size();
         to.outgoing.push_back({m_loop.now() + m_delay, std::move(data)});
         return true;
     }
 
-    bool writeTo(End &to) const
+    // Writes the data that is due; false if the connection failed.
+    bool writeTo(Side &to) const
     {
         while (!to.outgoing.empty() && to.outgoing.front().due <= m_loop.now()) {
             std::string &data = to.outgoing.front().data;
             if (data.empty()) {
                 shutdown(to.fd, SHUT_WR);
-                to.hasWrittenEnd = true;
+                to.hasWrittenEof = true;
             } else {
                 const ssize_t n = ::send(to.fd, data.data(), data.size(), MSG_NOSIGNAL);
                 if (n < 0)
@@ -152,15 +164,16 @@
         return true;
     }
 
+    // Sets which events of the sockets are watched, and the timer to the next delayed data.
     void update()
     {
         if (m_isSilent || m_hasEnded)
             return;
         TimePoint next = NeverTime;
         for (int n = 0; n < 2; ++n) {
-            End &it = m_ends[n];
-            const bool mayRead = !it.hasReadEnd && !(m_isDeaf && n == TargetEnd)
-                                 && m_ends[1 - n].outgoingBytes < MaxBufferedBytes;
+            Side &it = m_sides[n];
+            const bool mayRead = !it.hasReadEof && !(m_isDeaf && n == TargetSide)
+                                 && m_sides[1 - n].outgoingBytes < MaxBufferedBytes;
             const bool mayWrite = !it.outgoing.empty() && it.outgoing.front().due <= m_loop.now();
             if (!it.outgoing.empty() && !mayWrite)
                 next = std::min(next, it.outgoing.front().due);
@@ -170,27 +183,29 @@
         m_timer.startAt(next);
     }
 
-    void end()
+    // Stops everything and calls `onEnd`.
+    void finish()
     {
         m_hasEnded = true;
         m_timer.stop();
-        for (End &it : m_ends)
+        for (Side &it : m_sides)
             it.watcher->watch(IoWatcher::None);
         m_onEnd();
     }
 
-    static constexpr int TargetEnd = 1; // of m_ends; the other is the client's
+    static constexpr int TargetSide = 1; // of m_sides; the other is the client's
 
     EventLoop &m_loop;
     std::function<void()> m_onEnd;
-    Timer m_timer; // for delayed data
-    End m_ends[2];
+    Timer m_timer;   // fires when delayed data is due
+    Side m_sides[2]; // the client's and the target's
     Duration m_delay{};
     bool m_isSilent = false;
     bool m_isDeaf = false; // nothing is read from the target
     bool m_hasEnded = false;
 };
 
+// The proxy: a listening socket, the relays of the accepted connections, and the control interface.
 class CuttingProxy
 {
 public:
@@ -204,6 +219,7 @@
     CuttingProxy(const CuttingProxy &) = delete;
     CuttingProxy &operator=(const CuttingProxy &) = delete;
 
+    // Accepts connections at the address; port 0 chooses a free one. False if it cannot be used.
     bool listen(const sockaddr_in &address)
     {
         m_address = address;
@@ -222,6 +238,7 @@
         return true;
     }
 
+    // Opens the control interface at "ip:port"; prints the error and returns false if it cannot.
     bool listenForControl(const std::string &address)
     {
         auto listened = HttpServer::listen(m_loop, address, {},
@@ -239,6 +256,7 @@
     std::string controlAddress() const { return m_control->address(); }
     std::uint16_t port() const { return ntohs(m_address.sin_port); }
 
+    // The requests /silence, /deafen and /cut, for all open connections.
     void silence()
     {
         for (auto &[id, relay] : m_relays)
@@ -254,11 +272,12 @@
     void cut()
     {
         for (auto &[id, relay] : m_relays)
-            relay->reset();
+            relay->resetOnClose();
         m_relays.clear();
     }
 
 private:
+    // Accepts one connection and connects to the target for it.
     void accept()
     {
         const int client = accept4(m_listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -283,6 +302,7 @@
         m_relays.emplace(id, std::move(relay));
     }
 
+    // Carries out a request of the control interface.
     HttpResponse handle(const HttpRequest &request)
     {
         Json::Value body;
@@ -303,11 +323,12 @@
             else if (m_listener < 0 && !listen(m_address))
                 return {500, "{\"error\":\"cannot listen again\"}\n"};
         } else if (request.path != "/connections") {
-            return {400, "{\"error\":\"unknown command or wrong body\"}\n"};
+            return {400, "{\"error\":\"unknown request or malformed body\"}\n"};
         }
         return {200, status()};
     }
 
+    // The body of every successful answer, as JSON.
     std::string status() const
     {
         Json::Value status;
@@ -329,13 +350,13 @@
 
     EventLoop &m_loop;
     sockaddr_in m_target;
-    sockaddr_in m_address{};
-    int m_listener = -1;
+    sockaddr_in m_address{}; // that it listens on, with the port in use
+    int m_listener = -1;     // socket; -1 while connections are refused
     std::unique_ptr<IoWatcher> m_watcher;
     std::unique_ptr<HttpServer> m_control;
-    std::map<std::uint64_t, std::unique_ptr<Relay>> m_relays;
-    std::uint64_t m_accepted = 0;
-    Duration m_delay{};
+    std::map<std::uint64_t, std::unique_ptr<Relay>> m_relays; // by number of the connection
+    std::uint64_t m_accepted = 0;                             // connections so far
+    Duration m_delay{}; // of all data, also of new connections
 };
 
 } // namespace
@@ -349,10 +370,10 @@
     std::string target;
     std::string control;
     po::options_description flags("cuttingproxy");
-    flags.add_options()("help", "show the options");
+    flags.add_options()("help", "print this text");
     flags.add_options()("listen", po::value(&listen)->default_value("127.0.0.1:0"),
                         "ip:port to listen on");
-    flags.add_options()("target", po::value(&target)->required(), "ip:port to pass to");
+    flags.add_options()("target", po::value(&target)->required(), "ip:port to connect to");
     flags.add_options()("control", po::value(&control)->default_value("127.0.0.1:0"),
                         "ip:port of the control interface");
     try {
@@ -370,7 +391,7 @@
     sockaddr_in listenAddress{};
     sockaddr_in targetAddress{};
     if (!toSockaddr(listen, listenAddress) || !toSockaddr(target, targetAddress)) {
-        std::cerr << "listen and target must be ip:port\n";
+        std::cerr << "listen and target must be ip:port with an IPv4 address\n";
         return 2;
     }
     EventLoop loop;
