--- a/tools/logstandin.cpp
+++ b/tools/logstandin.cpp
@@ -1,4 +1,6 @@
-// Stand-in of the platform's log service for trials and tests on one machine.
+// The program logstandin: a stand-in for the platform's log service, for system tests and the demo.
+// Flags set some of the faults at its start; PUT /faults changes them. It prints the address that
+// it listens on and ends with SIGINT or SIGTERM.
 
 #include "logstandinserver.h"
 
@@ -19,7 +21,7 @@
         "retain", options::value(&faults.retain)->default_value(faults.retain),
         "records kept in each stream")("append-delay-ms",
                                        options::value(&faults.appendDelayMs)->default_value(0),
-                                       "time that an append takes");
+                                       "time in ms until an append takes effect");
     try {
         options::variables_map values;
         options::store(options::parse_command_line(argc, argv, description), values);
--- a/tools/logstandinserver.h
+++ b/tools/logstandinserver.h
@@ -1,5 +1,12 @@
-// Small stand-in of the platform's log service: streams in memory, long poll, trimming and faults.
-// Used by the program tools/logstandin and, in process, by tests.
+// A stand-in for the platform's log service, with streams in memory, long polls, trimming and
+// faults. Used by the program tools/logstandin.cpp and, in process, by unit tests.
+//
+//   POST /streams/NAME/records  appends the body as one record: 200 {offset}
+//   GET /streams/NAME/records?from=N&limit=N&wait_ms=N
+//                               200 {first, records: [{offset, body}], next} as soon as there is a
+//                               record from offset `from` on, or after wait_ms; 410 {first} if that
+//                               record was trimmed; `first` is the oldest offset that is kept
+//   PUT /faults                 sets LogFaults; the answer has all of them
 
 #pragma once
 
@@ -22,19 +29,20 @@
 
 namespace cactuscove {
 
-// Set by PUT /faults; a field that is left out keeps its value.
+// How the service misbehaves. Set by PUT /faults; a field that is left out keeps its value.
 struct LogFaults
 {
     bool down = false;                 // connections are closed without effect or reply
-    std::uint64_t delayMs = 0;         // every reply comes this much later than its effect
-    std::uint64_t appendDelayMs = 0;   // appends take effect this late, even if the client is gone
-    std::uint64_t dropReplies = 0;     // the next N appends take effect but get no reply
+    std::uint64_t delayMs = 0;         // time from the effect of any request to its reply
+    std::uint64_t appendDelayMs = 0;   // time until appends take effect, also if the client is gone
+    std::uint64_t dropReplies = 0;     // number of next appends that take effect but get no reply
     std::uint64_t retain = UINT64_MAX; // records kept in each stream
 };
 
 class LogStandinServer
 {
 public:
+    // `address` is "ip:port"; port 0 chooses a free one. The loop must outlive the server.
     static Result<std::unique_ptr<LogStandinServer>, HttpServerError>
     listen(EventLoop &loop, std::string_view address)
     {
@@ -44,7 +52,7 @@
             [it = self.get()](RequestId id, const HttpRequest &request) {
                 it->handle(id, request);
             },
-            [it = self.get()](RequestId id) { it->forget(id); });
+            [it = self.get()](RequestId id) { it->removeReader(id); });
         if (!isOk(server))
             return errorOf(server);
         self->m_server = std::move(valueOf(server));
@@ -54,15 +62,17 @@
     std::string address() const { return m_server->address(); }
     LogFaults &faults() { return m_faults; }
 
+    // Appends a record, answers the reads that wait for it and returns its offset.
     std::uint64_t append(const std::string &name, std::string body)
     {
         Stream &stream = m_streams[name];
         stream.records.push_back(std::move(body));
         trim(stream);
-        answerWaiting();
+        answerReaders();
         return stream.next() - 1;
     }
 
+    // The records of a stream that are kept, the oldest first.
     const std::deque<std::string> &records(const std::string &name)
     {
         return m_streams[name].records;
@@ -70,29 +80,31 @@
 
 private:
     static constexpr std::size_t MaxRecordBytes = 16 << 20;
-    static constexpr std::size_t MaxReplyBytes = 2 << 20; // at least one record is always sent
+    static constexpr std::size_t MaxReplyBytes = 2 << 20; // the record that exceeds it is the last
     static constexpr std::uint64_t MaxWaitMs = 30'000;
     static constexpr std::uint64_t MaxRecordsPerReply = 1000;
 
     struct Stream
     {
-        std::uint64_t first = 0; // of the records that are still kept
-        std::deque<std::string> records;
+        std::uint64_t first = 0;         // offset of the oldest record that is kept
+        std::deque<std::string> records; // that are kept
+        // The offset that the next record gets.
         std::uint64_t next() const { return first + records.size(); }
     };
 
+    // A read that has not been answered.
     struct Reader
     {
         RequestId id;
         std::string stream;
-        std::uint64_t from = 0;
-        std::uint64_t limit = 0;
-        TimePoint until;
+        std::uint64_t from = 0;  // first offset that it wants
+        std::uint64_t limit = 0; // most records in the reply
+        TimePoint until;         // answered without records at this time
     };
 
     explicit LogStandinServer(EventLoop &loop)
         : m_loop(loop)
-        , m_timer(loop, [this] { runDue(); })
+        , m_timer(loop, [this] { runDueTasks(); })
     {}
 
     void handle(RequestId id, const HttpRequest &request)
@@ -112,8 +124,8 @@
         m_readers.push_back({id, stream, parameter(request, "from", 0),
                              parameter(request, "limit", MaxRecordsPerReply),
                              m_loop.now() + std::chrono::milliseconds(wait)});
-        at(m_readers.back().until, [] {}); // runDue() looks at the readers
-        answerWaiting();
+        at(m_readers.back().until, [] {}); // runDueTasks() also answers reads whose time is over
+        answerReaders();
     }
 
     void handleAppend(RequestId id, const std::string &stream, const std::string &body)
@@ -150,6 +162,7 @@
         m_server->respond(id, {200, writeJson(now)});
     }
 
+    // False, without effect, if a field is unknown or malformed.
     bool setFaults(const Json::Value &json)
     {
         using namespace jsonfields;
@@ -172,7 +185,7 @@
         } catch (const FieldError &) {
             return false;
         } catch (const Json::Exception &) {
-            return false; // no object
+            return false; // not an object
         }
         m_faults = faults;
         if (m_faults.down) {
@@ -184,15 +197,17 @@
         return true;
     }
 
+    // Drops the oldest records beyond the retention.
     void trim(Stream &stream) const
     {
         for (; stream.records.size() > m_faults.retain; ++stream.first)
             stream.records.pop_front();
     }
 
-    void answerWaiting()
+    // Answers the reads for which there are records, or whose time is over.
+    void answerReaders()
     {
-        std::vector<Reader> waiting;
+        std::vector<Reader> unanswered;
         for (Reader &reader : std::exchange(m_readers, {})) {
             const Stream &stream = m_streams[reader.stream];
             if (reader.from < stream.first)
@@ -200,11 +215,12 @@
             else if (reader.from < stream.next() || m_loop.now() >= reader.until)
                 reply(reader.id, 200, recordsFrom(stream, reader));
             else
-                waiting.push_back(std::move(reader));
+                unanswered.push_back(std::move(reader));
         }
-        m_readers = std::move(waiting);
+        m_readers = std::move(unanswered);
     }
 
+    // The bodies of replies to reads.
     static Json::Value firstOf(const Stream &stream)
     {
         Json::Value json;
@@ -230,6 +246,7 @@
         return json;
     }
 
+    // Sends a reply, delayed by the fault delayMs.
     void reply(RequestId id, int status, const Json::Value &json)
     {
         HttpResponse response{status, writeJson(json)};
@@ -239,30 +256,33 @@
            [this, id, response] { m_server->respond(id, response); });
     }
 
-    void forget(RequestId id)
+    // The request has ended, for example because its client is gone.
+    void removeReader(RequestId id)
     {
         std::erase_if(m_readers, [id](const Reader &reader) { return reader.id == id; });
     }
 
+    // Runs the task at the given time.
     void at(TimePoint due, std::function<void()> task)
     {
-        m_due.emplace(due, std::move(task));
-        m_timer.startAt(m_due.begin()->first);
+        m_tasks.emplace(due, std::move(task));
+        m_timer.startAt(m_tasks.begin()->first);
     }
 
-    void runDue()
+    // Called by m_timer: runs the tasks that are due.
+    void runDueTasks()
     {
-        while (!m_due.empty() && m_due.begin()->first <= m_loop.now()) {
-            const auto task = std::move(m_due.begin()->second);
-            m_due.erase(m_due.begin());
+        while (!m_tasks.empty() && m_tasks.begin()->first <= m_loop.now()) {
+            const auto task = std::move(m_tasks.begin()->second);
+            m_tasks.erase(m_tasks.begin());
             task();
         }
-        answerWaiting();
-        if (!m_due.empty())
-            m_timer.startAt(m_due.begin()->first);
+        answerReaders();
+        if (!m_tasks.empty())
+            m_timer.startAt(m_tasks.begin()->first);
     }
 
-    // "/streams/NAME/records" -> NAME, else empty.
+    // NAME of a path "/streams/NAME/records"; empty for other paths.
     static std::string streamOf(const std::string &path)
     {
         const std::string prefix = "/streams/";
@@ -273,6 +293,7 @@
         return path.substr(prefix.size(), path.size() - prefix.size() - suffix.size());
     }
 
+    // A numeric parameter of the query, or `fallback` if it is missing or malformed.
     static std::uint64_t parameter(const HttpRequest &request, const std::string &name,
                                    std::uint64_t fallback)
     {
@@ -284,10 +305,10 @@
 
     EventLoop &m_loop;
     Timer m_timer;
-    std::multimap<TimePoint, std::function<void()>> m_due; // earliest first
+    std::multimap<TimePoint, std::function<void()>> m_tasks; // set by at(), by time
     LogFaults m_faults;
     std::map<std::string, Stream> m_streams;
-    std::vector<Reader> m_readers; // long polls without an answer yet
+    std::vector<Reader> m_readers;
     std::unique_ptr<HttpServer> m_server;
 };
 
