--- a/tools/upstreamstandin.cpp
+++ b/tools/upstreamstandin.cpp
@@ -1,11 +1,13 @@
-// A small upstream for tests: runs tasks by waiting, announces itself to the agent beside it and
-// records every start. `PUT /faults` makes it misbehave.
+// The program upstreamstandin: an upstream for system tests and the demo. It announces itself to an
+// agent, runs tasks by waiting for their run time, and records every start.
 //
-//   POST /run    {job, task, payload, lease_ms}; payload {"run_ms", "fail", "echo"} as JSON text
-//   POST /stop   {job, task}
+//   POST /run    {job, task, payload, lease_ms}: starts a task and answers at its end, with 200 and
+//                {task, echo}, or 500. The payload is JSON text: {run_ms, fail, echo}. A request
+//                that starts nothing is answered with 400, 409 or 503 and X-Task-Started: false.
+//   POST /stop   {job, task}: ends the task at once
 //   GET /starts  {starts: [{ms, job, task}]}, ms since the process started
-//   PUT /faults  {fail_all, straggle_factor, close_after_start, close_reused}; fields left out are
-//                reset
+//   PUT /faults  {fail_all, straggle_factor, close_after_start, close_reused}: makes it misbehave;
+//                fields left out are reset
 //   GET /healthz
 
 #include "eventloop.h"
@@ -26,27 +28,29 @@
 namespace cactuscove {
 namespace {
 
-constexpr Duration StartTime = std::chrono::milliseconds(50); // of a task that asks for none
+constexpr Duration DefaultRunTime = std::chrono::milliseconds(50); // of a task without run_ms
 
+// The flags; readOptions() sets them.
 struct Options
 {
-    std::string listen;
-    std::string agent; // empty: announces itself to nobody
-    std::string upstream;
-    std::string incarnation;
-    std::uint32_t slots = 0;
-    std::uint32_t connections = 0;
-    std::uint32_t memoryMb = 0;
-    std::uint32_t accelerators = 0;
-    std::uint32_t leaseMs = 0;
+    std::string listen;             // ip:port
+    std::string agent;              // ip:port; empty: announces itself to nobody
+    std::string upstream;           // name of the upstream that it belongs to
+    std::string incarnation;        // identifies this process
+    std::uint32_t slots = 0;        // tasks at a time
+    std::uint32_t connections = 0;  // at a time
+    std::uint32_t memoryMb = 0;     // that one task may need
+    std::uint32_t accelerators = 0; // that one task may need
+    std::uint32_t leaseMs = 0;      // time for which an announcement is valid
 };
 
+// How it misbehaves; set by PUT /faults.
 struct Faults
 {
-    bool failAll = false;
-    double straggleFactor = 1;
-    bool closeAfterStart = false; // a task starts and its connection closes without an answer
-    bool closeReused = false;     // the same, only on reused connections
+    bool failAll = false;         // every task fails at its end
+    double straggleFactor = 1;    // of the run times of new tasks
+    bool closeAfterStart = false; // tasks run, but their connections close without an answer
+    bool closeReused = false;     // the same, but not for the first request of a connection
 };
 
 std::string write(const Json::Value &value)
@@ -56,7 +60,7 @@
     return Json::writeString(builder, value) + '\n';
 }
 
-// Null for text that is no JSON object.
+// A null value for text that is not a JSON object.
 Json::Value parse(const std::string &text)
 {
     Json::Value value;
@@ -73,17 +77,18 @@
     return std::chrono::milliseconds(value.isInt64() ? value.asInt64() : 0);
 }
 
-class Standin
+class UpstreamStandin
 {
 public:
-    Standin(EventLoop &loop, Options options)
+    UpstreamStandin(EventLoop &loop, Options options)
         : m_loop(loop)
         , m_http(loop)
         , m_options(std::move(options))
         , m_heartbeat(loop, [this] { announce(); })
-        , m_begin(loop.now())
+        , m_startTime(loop.now())
     {}
 
+    // Listens, prints the address and announces itself; false if it cannot listen.
     bool listen()
     {
         HttpServerLimits limits;
@@ -102,7 +107,7 @@
         return true;
     }
 
-    // Takes no new task, tells the agent and ends when nothing runs any more.
+    // Refuses new tasks, tells the agent that it leaves, and stops the loop when no task runs.
     void leave()
     {
         if (m_isLeaving)
@@ -120,12 +125,13 @@
 private:
     struct Task
     {
-        RequestId request;
-        std::unique_ptr<Timer> end;
-        bool isDropped = false;
+        RequestId request;          // answered at the end of the task
+        std::unique_ptr<Timer> end; // fires when the run time or the lease is over
+        bool isDropped = false;     // the connection was closed by a fault, so there is no answer
     };
     using TaskKey = std::pair<std::string, std::string>; // job and task
 
+    // Tells the agent what this upstream offers, and schedules the next announcement.
     void announce()
     {
         Json::Value body;
@@ -138,10 +144,11 @@
         body["accelerators"] = m_options.accelerators;
         body["lease_ms"] = m_options.leaseMs;
         callAgent("PUT", body, [](bool) {});
-        // Two repeats may be lost before the announcement lapses.
+        // Two announcements may be lost before the lease of the last one ends.
         m_heartbeat.startIn(std::chrono::milliseconds(m_options.leaseMs) / 3);
     }
 
+    // Calls the agent's /v1/upstream; `done` gets whether the agent answered with success.
     void callAgent(const char *method, const Json::Value &body,
                    const std::function<void(bool)> &done)
     {
@@ -153,11 +160,11 @@
         call.body = write(body);
         call.timeout = std::chrono::milliseconds(m_options.leaseMs) / 3;
         m_http.start(std::move(call), [this, done](const Result<HttpReply, HttpCallError> &reply) {
-            const bool isTaken = isOk(reply) && valueOf(reply).status / 100 == 2;
-            if (!isTaken && m_isAnnounced)
-                std::cerr << "agent does not take announcements\n";
-            m_isAnnounced = isTaken;
-            done(isTaken);
+            const bool isAccepted = isOk(reply) && valueOf(reply).status / 100 == 2;
+            if (!isAccepted && m_isAnnounced)
+                std::cerr << "the agent does not accept announcements\n";
+            m_isAnnounced = isAccepted;
+            done(isAccepted);
         });
     }
 
@@ -176,6 +183,7 @@
         m_server->respond(id, {404, "{\"error\":\"no such path\"}\n"});
     }
 
+    // Answers a request to run a task that does not start it.
     void refuse(RequestId id, int status, const std::string &reason)
     {
         Json::Value body;
@@ -184,6 +192,7 @@
                           {status, write(body), "application/json", {{"X-Task-Started", "false"}}});
     }
 
+    // Starts a task; its timer calls finish().
     void run(RequestId id, const HttpRequest &request)
     {
         const Json::Value body = parse(request.body);
@@ -196,14 +205,15 @@
             return refuse(id, 503, m_isLeaving ? "leaving" : "full");
 
         const TaskKey key{body["job"].asString(), body["task"].asString()};
-        record(key);
+        recordStart(key);
         const Json::Value payload = parse(body["payload"].asString());
-        Duration runTime = payload.isMember("run_ms") ? milliseconds(payload["run_ms"]) : StartTime;
+        Duration runTime
+            = payload.isMember("run_ms") ? milliseconds(payload["run_ms"]) : DefaultRunTime;
         runTime = Duration(static_cast<std::int64_t>(static_cast<double>(runTime.count())
                                                      * m_faults.straggleFactor));
         const Duration lease = milliseconds(body["lease_ms"]);
-        const bool isLapsed = lease < runTime;
-        const bool isFailed = m_faults.failAll || payload["fail"].asBool();
+        const bool lapses = lease < runTime;
+        const bool fails = m_faults.failAll || payload["fail"].asBool();
         Json::Value answer;
         answer["task"] = key.second;
         answer["echo"] = payload["echo"];
@@ -212,9 +222,9 @@
         Task &task = m_tasks[{key, number}];
         task.request = id;
         task.end = std::make_unique<Timer>(m_loop, [=, this] {
-            if (isLapsed)
+            if (lapses)
                 finish(key, number, 500, "lease lapsed");
-            else if (isFailed)
+            else if (fails)
                 finish(key, number, 500, "failed");
             else
                 finish(key, number, 200, write(answer));
@@ -226,16 +236,18 @@
         }
     }
 
-    // A task can start twice only by a fault of the system under test, so each start counts.
-    void record(const TaskKey &key)
+    // Adds a start to the list of GET /starts, also if the task was started before: such a start is
+    // a fault of the system under test, which tests must see.
+    void recordStart(const TaskKey &key)
     {
         Json::Value start;
-        start["ms"] = Json::Int64((m_loop.now() - m_begin) / std::chrono::milliseconds(1));
+        start["ms"] = Json::Int64((m_loop.now() - m_startTime) / std::chrono::milliseconds(1));
         start["job"] = key.first;
         start["task"] = key.second;
         m_starts["starts"].append(start);
     }
 
+    // Ends a run and answers its request; does nothing if the run has ended.
     void finish(const TaskKey &key, std::uint64_t number, int status, const std::string &body)
     {
         const auto node = m_tasks.extract({key, number});
@@ -243,11 +255,12 @@
             return;
         if (!node.mapped().isDropped)
             m_server->respond(node.mapped().request, {status, body});
-        // The timer that called this must not be destroyed inside its own callback.
+        // This may be the callback of the run's own timer, which must not be destroyed inside it.
         m_loop.post([timer = std::shared_ptr<Timer>(std::move(node.mapped().end))] {});
         stopIfIdle();
     }
 
+    // Ends all runs of a task and answers with their number.
     void stop(RequestId id, const HttpRequest &request)
     {
         const Json::Value body = parse(request.body);
@@ -274,51 +287,54 @@
         m_server->respond(id, {200, "{}\n"});
     }
 
+    // Stops the loop once the agent was told and no task runs.
     void stopIfIdle()
     {
         if (!m_hasLeft || !m_tasks.empty() || m_isStopping)
             return;
         m_isStopping = true;
         m_server->stopAccepting();
-        // Leaves time for the last answers to be written.
-        m_linger = std::make_unique<Timer>(m_loop, [this] { m_loop.stop(); });
-        m_linger->startIn(std::chrono::milliseconds(100));
+        // The loop runs on for a while, so that the last answers are written.
+        m_stopTimer = std::make_unique<Timer>(m_loop, [this] { m_loop.stop(); });
+        m_stopTimer->startIn(std::chrono::milliseconds(100));
     }
 
     EventLoop &m_loop;
     HttpClient m_http;
     Options m_options;
     Timer m_heartbeat;
-    std::unique_ptr<Timer> m_linger;
+    std::unique_ptr<Timer> m_stopTimer;
     std::unique_ptr<HttpServer> m_server;
-    TimePoint m_begin;
+    TimePoint m_startTime;
     Faults m_faults;
-    std::map<std::pair<TaskKey, std::uint64_t>, Task> m_tasks; // running, by order of start
-    std::uint64_t m_lastTask = 0;
+    std::map<std::pair<TaskKey, std::uint64_t>, Task> m_tasks; // running, by key and number
+    std::uint64_t m_lastTask = 0; // number of the run that started last
+    // The answer to GET /starts.
     Json::Value m_starts = [] {
         Json::Value value;
         value["starts"] = Json::Value(Json::arrayValue);
         return value;
     }();
-    bool m_isAnnounced = true;
-    bool m_isLeaving = false;
-    bool m_hasLeft = false; // the agent was told
-    bool m_isStopping = false;
+    bool m_isAnnounced = true; // the agent has accepted the last call; limits the error output
+    bool m_isLeaving = false;  // leave() was called
+    bool m_hasLeft = false;    // the agent was told, or could not be
+    bool m_isStopping = false; // the loop stops soon
 };
 
+// False after --help or for wrong flags; the text for the user is printed.
 bool readOptions(int argc, char **argv, Options &options)
 {
     namespace po = boost::program_options;
     po::options_description flags("upstreamstandin");
-    flags.add_options()("help", "show the options");
+    flags.add_options()("help", "print this text");
     flags.add_options()("listen", po::value(&options.listen)->default_value("127.0.0.1:0"),
                         "ip:port to listen on");
     flags.add_options()("agent", po::value(&options.agent),
-                        "address of the agent beside it, with or without http://");
+                        "ip:port of its agent, with or without http://");
     flags.add_options()("upstream", po::value(&options.upstream)->default_value("walk-desk"),
                         "name of the upstream");
     flags.add_options()("incarnation", po::value(&options.incarnation),
-                        "of this run; default: from the process id and the time");
+                        "identifies this process; default: from the process id and the time");
     flags.add_options()("slots", po::value(&options.slots)->default_value(8), "tasks at a time");
     flags.add_options()("connections", po::value(&options.connections)->default_value(64),
                         "connections at a time");
@@ -327,7 +343,7 @@
     flags.add_options()("accelerators", po::value(&options.accelerators)->default_value(0),
                         "accelerators that one task may need");
     flags.add_options()("lease-ms", po::value(&options.leaseMs)->default_value(3000),
-                        "lease of an announcement");
+                        "ms for which an announcement is valid");
     po::variables_map values;
     try {
         po::store(po::parse_command_line(argc, argv, flags), values);
@@ -360,7 +376,7 @@
     if (!readOptions(argc, argv, options))
         return 2;
     EventLoop loop;
-    Standin standin(loop, std::move(options));
+    UpstreamStandin standin(loop, std::move(options));
     if (!standin.listen())
         return 1;
     for (const int signal : {SIGTERM, SIGINT})
