--- a/tools/fleetmodel.h
+++ b/tools/fleetmodel.h
@@ -1,5 +1,9 @@
-// Small fakes of homes and executors around the decision objects, in virtual time. Message delays,
-// slots and run times are modelled; ledger, witnesses and faults of the network are not.
+// Models of a fleet in virtual time, for the measuring program measure.cpp.
+//
+// Fleet runs simplified homes and executors around the real decision classes (Admission, placement,
+// ReservationQueue, WorkerHealth, RetryBudget). It models message delays, slots and run times, but
+// neither the ledger nor witnesses nor network faults. CentralQueue and runOnEmptyFleet() are
+// ideals to compare with. All times of type double are seconds of virtual time.
 
 #pragma once
 
@@ -20,60 +24,68 @@
 
 inline constexpr char Upstream[] = "walk-desk";
 
-inline TimePoint at(double seconds)
+// Conversions of seconds of virtual time to the types of the decision classes.
+inline TimePoint toTimePoint(double seconds)
 {
     return TimePoint(Duration(static_cast<std::int64_t>(seconds * 1e6)));
 }
 
-inline Duration span(double seconds)
+inline Duration toDuration(double seconds)
 {
     return Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
 
 enum class End { None, Completed, Refused, Failed };
 
+// How a job ended; None while it has not.
 struct JobEnd
 {
     End end = End::None;
-    double response = 0; // seconds from arrival at the home to the answer
+    double response = 0; // seconds from the job's arrival to its end
 };
 
+// One submission that was refused.
 struct Refusal
 {
     double time = 0;
-    double retryAfter = 0; // seconds
-    bool isFlood = false;
+    double retryAfter = 0; // time after which the caller may submit again, seconds
+    bool isFlood = false;  // the job belongs to the flood
 };
 
+// One start of a task.
 struct Start
 {
     double time = 0;
-    std::size_t worker = 0;
-    bool isRetry = false;
+    std::size_t worker = 0; // index
+    bool isRetry = false;   // the task was started before
 };
 
+// What a model run gives; measure.cpp prints it.
 struct RunResult
 {
-    std::vector<JobEnd> jobs; // as in the workload
+    std::vector<JobEnd> jobs; // in the order of Workload::jobs
     std::vector<Start> starts;
     std::vector<Refusal> refusals;
-    std::uint64_t messages = 0;
-    std::uint64_t wasted = 0;
+    std::uint64_t messages = 0; // sent between agents
+    std::uint64_t wasted = 0;   // messages of exchanges that led to no successful start
 };
 
+// A virtual clock: runs scheduled actions in order of time, and jumps from one to the next. Actions
+// of the same time run in the order in which they were scheduled.
 class Clock
 {
 public:
     double now() const { return m_now; }
+    // Schedules an action `seconds` from now.
     void after(double seconds, std::function<void()> action)
     {
         m_events.push({m_now + seconds, m_sequence++, std::move(action)});
     }
-    // Returns when `isFinished` or nothing is left to do.
+    // Runs actions until isFinished() is true or none is left.
     void run(const std::function<bool()> &isFinished)
     {
         while (!m_events.empty() && !isFinished()) {
-            // The heap's top is const; the action is moved out just before the pop.
+            // top() is const. Moving the action out is safe because the event is popped next.
             Event event = std::move(const_cast<Event &>(m_events.top()));
             m_events.pop();
             m_now = event.time;
@@ -85,8 +97,9 @@
     struct Event
     {
         double time = 0;
-        std::uint64_t sequence = 0;
+        std::uint64_t sequence = 0; // order of scheduling
         std::function<void()> action;
+        // The reverse order, because std::priority_queue gives the greatest element first.
         bool operator<(const Event &other) const
         {
             return time != other.time ? time > other.time : sequence > other.sequence;
@@ -97,12 +110,13 @@
     std::priority_queue<Event> m_events;
 };
 
-// Shares exceed what each class offers at 80% load, so that a flood takes nothing that is owed.
+// The configuration of the modelled fleet. Each class has a share greater than the work that it
+// offers at 80% load, so a flood of one class must not slow down the others.
 inline FleetConfig fleetConfig(const Options &options)
 {
     FleetConfig config;
     const auto target
-        = [&options](double seconds) { return span(options.queueTargetScale * seconds); };
+        = [&options](double seconds) { return toDuration(options.queueTargetScale * seconds); };
     config.classes["urgent"] = {3, target(2)};
     config.classes["normal"] = {5, target(5)};
     config.classes["bulk"] = {2, target(10)};
@@ -113,15 +127,21 @@
     return config;
 }
 
+// The task with this index as Admission queues it; its token is the index.
 inline QueuedTask queuedTask(const Workload &workload, std::size_t task)
 {
     const Task &it = workload.tasks[task];
     const Job &job = workload.jobs[it.job];
-    return {task,     job.team,          job.jobClass,
-            Upstream, span(it.declared), at(job.arrival + job.deadline)};
+    return {task,
+            job.team,
+            job.jobClass,
+            Upstream,
+            toDuration(it.declared),
+            toTimePoint(job.arrival + job.deadline)};
 }
 
-// The order in which a job's tasks are queued: as submitted, or by falling `key`.
+// The indexes of a job's tasks in the order in which they are queued: as submitted or, if `sorted`,
+// by falling key(index).
 template <typename Key>
 std::vector<std::size_t> taskOrder(const Job &job, bool sorted, Key key)
 {
@@ -134,10 +154,12 @@
     return order;
 }
 
-// How a baseline binds a task: at once to the agent that the policy names.
+// Baseline policies bind a task at once to the agent that they choose, and it waits there. With
+// DigestPolicy, a task that finds no free slot leaves a reservation and is bound by a slot offer.
 template <typename Policy>
 inline constexpr bool IsEarlyBinding = !std::is_same_v<Policy, DigestPolicy>;
 
+// Agents with one worker each. Each agent is the home of some jobs and executes tasks of all homes.
 template <PlacementPolicy Policy>
 class Fleet
 {
@@ -146,7 +168,7 @@
         : m_options(options)
         , m_workload(std::move(workload))
         , m_result{std::vector<JobEnd>(m_workload.jobs.size()), {}, {}, 0, 0}
-        , m_open(m_workload.jobs.size())
+        , m_openTasks(m_workload.jobs.size())
         , m_failed(m_workload.jobs.size())
         , m_executors(options.workers)
     {
@@ -156,33 +178,37 @@
             m_executors[i].free = options.slots;
     }
 
+    // Runs the workload until every job has ended; called once.
     RunResult run()
     {
-        m_left = m_workload.jobs.size();
+        m_openJobs = m_workload.jobs.size();
         for (std::size_t i = 0; i < m_workload.jobs.size(); ++i)
             m_clock.after(m_workload.jobs[i].arrival, [this, i] { submit(i); });
-        feed();
-        m_clock.run([this] { return m_left == 0; });
+        sendFeed();
+        m_clock.run([this] { return m_openJobs == 0; });
         return std::move(m_result);
     }
 
 private:
+    // The part of an agent that admits jobs and places their tasks.
     struct Home
     {
         Admission admission;
         BasicPlacement<Policy> placement;
         WorkerHealth health;
         RetryBudget budget;
-        std::vector<LoadReport> known; // newest digest of each agent and when it was observed
-        std::vector<double> knownAt;
-        std::map<std::size_t, std::pair<QueuedTask, std::size_t>> reserved; // by token: at worker
+        std::vector<LoadReport> latestDigests; // newest digest of each agent
+        std::vector<double> latestDigestTimes; // time of that digest; negative: there is none
+        // Tasks that wait for a slot offer, with the index of the worker, by token.
+        std::map<std::size_t, std::pair<QueuedTask, std::size_t>> reserved;
     };
 
+    // The part of an agent that runs tasks on its worker.
     struct Executor
     {
-        std::uint32_t free = 0;
+        std::uint32_t free = 0; // slots
         ReservationQueue reservations;
-        std::deque<std::size_t> queue; // tasks bound early
+        std::deque<std::size_t> queue; // tokens of tasks that wait; only with early binding
     };
 
     static Incarnation agentOf(std::size_t i) { return Incarnation{i + 1}; }
@@ -210,11 +236,13 @@
         return "dc" + std::to_string(i % m_options.dataCentres);
     }
 
+    // One-way delay of a message, seconds.
     double delay(std::size_t from, std::size_t to) const
     {
         return (centreOf(from) == centreOf(to) ? m_options.nearDelayMs : m_options.delayMs) / 1000;
     }
 
+    // The load of an agent as it reports it now.
     LoadReport digestOf(std::size_t i) const
     {
         const Executor &it = m_executors[i];
@@ -227,20 +255,22 @@
         return digest;
     }
 
-    void learn(std::size_t home, const LoadReport &digest, double observedAt)
+    // A home takes in a digest that the agent made at `observedAt`, unless it has a newer one.
+    void observeDigest(std::size_t home, const LoadReport &digest, double observedAt)
     {
         Home &it = *m_homes[home];
         const std::size_t k = digest.agent.value - 1;
-        if (observedAt < it.knownAt[k])
+        if (observedAt < it.latestDigestTimes[k])
             return;
-        it.knownAt[k] = observedAt;
-        it.known[k] = digest;
+        it.latestDigestTimes[k] = observedAt;
+        it.latestDigests[k] = digest;
         LoadReport aged = digest;
-        aged.age = span(m_clock.now() - observedAt);
-        it.placement.observe(aged, at(m_clock.now()));
+        aged.age = toDuration(m_clock.now() - observedAt);
+        it.placement.observe(aged, toTimePoint(m_clock.now()));
     }
 
-    // One message; `action` runs at the receiver after the digests on the envelope are observed.
+    // Sends one message; on arrival the receiver takes in the digests of the envelope, then
+    // `action` runs, and the receiver tries to start queued tasks.
     void send(std::size_t from, std::size_t to, std::function<void()> action)
     {
         ++m_result.messages;
@@ -249,21 +279,22 @@
         if (m_options.gossip) {
             const Home &sender = *m_homes[from];
             for (std::size_t k = 0; k < m_options.workers; ++k) {
-                if (k != from && sender.knownAt[k] >= 0)
-                    digests.emplace_back(sender.known[k], sender.knownAt[k]);
+                if (k != from && sender.latestDigestTimes[k] >= 0)
+                    digests.emplace_back(sender.latestDigests[k], sender.latestDigestTimes[k]);
             }
         }
         m_clock.after(delay(from, to),
                       [this, to, digests = std::move(digests), action = std::move(action)] {
                           for (const auto &[digest, observedAt] : digests)
-                              learn(to, digest, observedAt);
+                              observeDigest(to, digest, observedAt);
                           action();
                           dispatch(to);
                       });
     }
 
-    // Entries feed each agent every second with what the agents told them a second before.
-    void feed()
+    // Stands for the entries: every second, sends each agent the digests of all agents as they were
+    // a second before.
+    void sendFeed()
     {
         std::vector<LoadReport> digests;
         for (std::size_t i = 0; i < m_options.workers; ++i)
@@ -272,58 +303,64 @@
         m_clock.after(observedAt == 0 ? 0 : 1, [this, digests, observedAt] {
             for (std::size_t home = 0; home < m_options.workers; ++home) {
                 for (const LoadReport &digest : digests)
-                    learn(home, digest, observedAt);
+                    observeDigest(home, digest, observedAt);
                 dispatch(home);
             }
         });
-        m_clock.after(1, [this] { feed(); });
+        m_clock.after(1, [this] { sendFeed(); });
     }
 
+    // The job with this index arrives at its home, or is submitted again after a refusal.
     void submit(std::size_t index)
     {
         Job &job = m_workload.jobs[index];
         Home &home = *m_homes[job.home];
         const JobKey key{job.team + "/" + std::to_string(index)};
         if (m_options.queueTargetScale > 0) {
-            const auto refusal = home.admission.admit(
-                job.team, job.jobClass, Upstream, job.tasks,
-                at(job.arrival + job.deadline) - at(m_clock.now()), hashOf(key), at(m_clock.now()));
+            const auto refusal = home.admission.admit(job.team, job.jobClass, Upstream, job.tasks,
+                                                      toTimePoint(job.arrival + job.deadline)
+                                                          - toTimePoint(m_clock.now()),
+                                                      hashOf(key), toTimePoint(m_clock.now()));
             if (refusal) {
-                refused(index, std::chrono::duration<double>(refusal->retryAfter).count());
+                onRefused(index, std::chrono::duration<double>(refusal->retryAfter).count());
                 return;
             }
         }
-        m_open[index] = job.tasks;
+        m_openTasks[index] = job.tasks;
         for (const std::size_t task : taskOrder(job, m_options.longestFirst, [this](std::size_t i) {
                  return m_workload.tasks[i].declared;
              }))
-            home.admission.push(queuedTask(m_workload, task), at(m_clock.now()));
+            home.admission.push(queuedTask(m_workload, task), toTimePoint(m_clock.now()));
         dispatch(job.home);
     }
 
-    // The caller comes back when it was told to, unless its deadline has passed by then.
-    void refused(std::size_t index, double retryAfter)
+    // The caller submits the job again after `retryAfter` seconds. The job ends as refused if its
+    // deadline passes before, or if it was submitted often enough.
+    void onRefused(std::size_t index, double retryAfter)
     {
         Job &job = m_workload.jobs[index];
         m_result.refusals.push_back({m_clock.now(), retryAfter, job.isFlood});
-        if (job.submissions++ < m_options.resubmits
+        if (job.refusals++ < m_options.resubmits
             && m_clock.now() + retryAfter < job.arrival + job.deadline)
             m_clock.after(retryAfter, [this, index] { submit(index); });
         else
             finish(index, End::Refused);
     }
 
+    // Records the end of a job; called once for each job.
     void finish(std::size_t job, End end)
     {
         m_result.jobs[job].end = end;
         m_result.jobs[job].response = m_clock.now() - m_workload.jobs[job].arrival;
-        --m_left;
+        --m_openJobs;
     }
 
+    // Starts queued tasks of a home as long as agents have free slots. The remaining ones are sent
+    // to agents without a free slot, which makes them reservations. Called after each change.
     void dispatch(std::size_t index)
     {
         Home &home = *m_homes[index];
-        const TimePoint now = at(m_clock.now());
+        const TimePoint now = toTimePoint(m_clock.now());
         const TaskResources needs;
         while (home.admission.queuedTasks(Upstream) > 0) {
             std::optional<Incarnation> agent = probeTarget(home, now);
@@ -339,7 +376,7 @@
         if (IsEarlyBinding<Policy>)
             return;
         rebind(index);
-        std::vector<QueuedTask> passedOver; // their flows hold their limit of reservations
+        std::vector<QueuedTask> passedOver; // their flows have as many reservations as allowed
         while (passedOver.size() < MaxPassedOver) {
             auto task = home.admission.pop(Upstream, now);
             if (!task)
@@ -355,29 +392,33 @@
             home.admission.pushFront(std::move(*it));
     }
 
-    // With nothing left in the queue, a task that waits for an offer goes to a slot that is free.
+    // If the queue is empty and a slot is free, starts a task there that waits for a slot offer,
+    // and withdraws its reservation.
     void rebind(std::size_t index)
     {
         Home &home = *m_homes[index];
         while (home.admission.queuedTasks(Upstream) == 0 && !home.reserved.empty()) {
-            const auto agent = home.placement.chooseFree(Upstream, {}, at(m_clock.now()), {});
+            const auto agent
+                = home.placement.chooseFree(Upstream, {}, toTimePoint(m_clock.now()), {});
             if (!agent)
                 return;
             const TaskRef ref{JobKey{std::to_string(home.reserved.begin()->first)}, 0};
             const auto [task, worker] = home.reserved.begin()->second;
             home.reserved.erase(home.reserved.begin());
             home.placement.reservationEnded(agentOf(worker), flowOf(task));
-            m_result.wasted += 3; // request, answer and decline
+            m_result.wasted += 3; // start request, busy answer and withdrawal
             send(index, worker,
                  [this, worker = worker, ref] { m_executors[worker].reservations.remove(ref); });
             start(index, agent->value - 1, task);
         }
     }
 
+    // The tasks of one class and team are a flow.
     static std::string flowOf(const QueuedTask &task) { return task.jobClass + "/" + task.team; }
 
     static TaskRef refOf(const QueuedTask &task) { return {JobKey{std::to_string(task.token)}, 0}; }
 
+    // An ejected agent that may get one task now, to find out whether it works again.
     std::optional<Incarnation> probeTarget(Home &home, TimePoint now)
     {
         for (std::size_t k = 0; m_options.health && k < m_options.workers; ++k) {
@@ -389,6 +430,7 @@
         return std::nullopt;
     }
 
+    // Sends a task from its home to an agent.
     void start(std::size_t index, std::size_t worker, QueuedTask task)
     {
         Home &home = *m_homes[index];
@@ -398,6 +440,8 @@
              [this, index, worker, task = std::move(task)] { onStartTask(index, worker, task); });
     }
 
+    // The agent runs the task if a slot is free, else queues it or makes a reservation for its
+    // home.
     void onStartTask(std::size_t home, std::size_t worker, const QueuedTask &task)
     {
         Executor &it = m_executors[worker];
@@ -414,6 +458,7 @@
         }
     }
 
+    // The home learns that the task has a reservation at the worker's agent.
     void onBusy(std::size_t index, std::size_t worker, const QueuedTask &task)
     {
         Home &home = *m_homes[index];
@@ -421,7 +466,8 @@
         home.reserved.emplace(task.token, std::pair(task, worker));
     }
 
-    void slotFreed(std::size_t worker)
+    // Gives a free slot to the next queued task or offers it to the home of the best reservation.
+    void onSlotFreed(std::size_t worker)
     {
         Executor &it = m_executors[worker];
         if (!it.queue.empty()) {
@@ -438,19 +484,21 @@
         }
     }
 
+    // The home uses an offered slot for the task of the reservation, or declines the offer.
     void onOffer(std::size_t index, std::size_t worker, std::size_t token)
     {
         Home &home = *m_homes[index];
         const auto held = home.reserved.find(token);
         if (held == home.reserved.end() || held->second.second != worker) {
-            // It was bound elsewhere; the decline that crossed this offer was counted there.
+            // rebind() has started the task elsewhere. It has counted the withdrawal, so only the
+            // offer and its decline count here.
             m_result.wasted += 2;
-            send(index, worker, [this, worker] { slotFreed(worker); });
+            send(index, worker, [this, worker] { onSlotFreed(worker); });
             return;
         }
         const std::string flow = flowOf(held->second.first);
         if (m_options.bindOldest) {
-            // The oldest task of the flow takes the slot, and this one takes its reservation.
+            // The oldest task of the flow takes the slot; the two tasks exchange reservations.
             auto oldest = held;
             for (auto it = home.reserved.begin(); it != home.reserved.end(); ++it) {
                 if (flowOf(it->second.first) == flow
@@ -465,12 +513,14 @@
         send(index, worker, [this, index, worker, bound] { execute(worker, index, bound); });
     }
 
+    // Index of the agent that is the home of the task's job.
     std::size_t homeOf(std::size_t task) const
     {
         return m_workload.jobs[m_workload.tasks[task].job].home;
     }
 
-    bool isBad(std::size_t worker) const
+    // Whether the worker fails all tasks now.
+    bool isFailing(std::size_t worker) const
     {
         return worker < m_options.badWorkers && m_clock.now() >= m_options.faultFrom
                && m_clock.now() < m_options.faultUntil;
@@ -480,15 +530,15 @@
     void execute(std::size_t worker, std::size_t home, std::size_t token)
     {
         Task &task = m_workload.tasks[token];
-        const bool fails = isBad(worker);
+        const bool fails = isFailing(worker);
         m_result.starts.push_back({m_clock.now(), worker, task.attempts++ > 0});
         const double seconds
             = fails ? m_options.badRunMs / 1000 : task.work / m_workload.speeds[worker];
         m_clock.after(seconds, [this, worker, home, token, fails, seconds] {
             const Job &job = m_workload.jobs[m_workload.tasks[token].job];
             m_executors[worker].reservations.charge(job.jobClass, job.team,
-                                                    span(seconds) - StartCharge, m_config);
-            slotFreed(worker);
+                                                    toDuration(seconds) - StartCharge, m_config);
+            onSlotFreed(worker);
             send(worker, home, [this, worker, home, token, fails, seconds] {
                 onDone(home, worker, token, !fails, seconds);
             });
@@ -496,17 +546,18 @@
         });
     }
 
+    // The home gets the result of a task that ran for `seconds`; retries or counts it.
     void onDone(std::size_t index, std::size_t worker, std::size_t token, bool succeeded,
                 double seconds)
     {
         Home &home = *m_homes[index];
         const std::size_t jobIndex = m_workload.tasks[token].job;
         const Job &job = m_workload.jobs[jobIndex];
-        const TimePoint now = at(m_clock.now());
+        const TimePoint now = toTimePoint(m_clock.now());
         home.placement.taskEnded(agentOf(worker));
-        home.admission.taskEnded(job.team, job.jobClass, Upstream, span(seconds));
+        home.admission.taskEnded(job.team, job.jobClass, Upstream, toDuration(seconds));
         if (succeeded) {
-            home.health.succeeded(agentOf(worker), span(seconds), now);
+            home.health.succeeded(agentOf(worker), toDuration(seconds), now);
             home.budget.success();
         } else {
             home.health.failed(agentOf(worker), now);
@@ -519,29 +570,30 @@
             return;
         }
         m_failed[jobIndex] = m_failed[jobIndex] || !succeeded;
-        if (--m_open[jobIndex] == 0)
+        if (--m_openTasks[jobIndex] == 0)
             finish(jobIndex, m_failed[jobIndex] ? End::Failed : End::Completed);
     }
 
-    // As in the executor: a slot is charged with the least usual run time when it is given away.
+    // Slot time that a task is charged with at its start, as in TaskExecutor: the shortest usual
+    // run time. The rest of its run time is charged at its end.
     static constexpr Duration StartCharge = std::chrono::milliseconds(50);
-    static constexpr std::size_t MaxPassedOver = 8;
+    static constexpr std::size_t MaxPassedOver = 8; // tasks that one dispatch() skips
 
     Options m_options;
     FleetConfig m_config = fleetConfig(m_options);
     Workload m_workload;
     RunResult m_result;
     Clock m_clock;
-    std::vector<std::size_t> m_open; // tasks of each job without a result
-    std::vector<bool> m_failed;
-    std::vector<Executor> m_executors;
-    std::vector<std::unique_ptr<Home>> m_homes;
-    std::size_t m_left = 0; // jobs without an end
+    std::vector<std::size_t> m_openTasks;       // tasks of each job without a result
+    std::vector<bool> m_failed;                 // for each job: a task of it has failed
+    std::vector<Executor> m_executors;          // of each agent
+    std::vector<std::unique_ptr<Home>> m_homes; // of each agent
+    std::size_t m_openJobs = 0;                 // jobs that have not ended
 };
 
-// The ideal at the same load: one queue with the same order of classes, teams and age that knows
-// every run time, starts the longest task of a job first on the fastest free worker, and pays
-// nothing for messages.
+// The ideal at the same load: one queue with the same order of classes, teams and age. It knows
+// every run time, starts the longest task of a job first on the fastest free worker, and its
+// messages take no time.
 class CentralQueue
 {
 public:
@@ -551,20 +603,21 @@
         , m_admission(options.seed)
         , m_free(options.workers, options.slots)
         , m_result{std::vector<JobEnd>(m_workload.jobs.size()), {}, {}, 0, 0}
-        , m_open(m_workload.jobs.size())
+        , m_openTasks(m_workload.jobs.size())
     {
         m_admission.configure(fleetConfig(options));
     }
 
+    // Runs the workload until every job has ended; called once.
     RunResult run()
     {
         for (std::size_t i = 0; i < m_workload.jobs.size(); ++i) {
             m_clock.after(m_workload.jobs[i].arrival, [this, i] {
                 const Job &job = m_workload.jobs[i];
-                m_open[i] = job.tasks;
+                m_openTasks[i] = job.tasks;
                 for (const std::size_t task : taskOrder(
                          job, true, [this](std::size_t k) { return m_workload.tasks[k].work; }))
-                    m_admission.push(queuedTask(m_workload, task), at(m_clock.now()));
+                    m_admission.push(queuedTask(m_workload, task), toTimePoint(m_clock.now()));
                 dispatch();
             });
         }
@@ -573,27 +626,30 @@
     }
 
 private:
+    // Starts queued tasks as long as slots are free.
     void dispatch()
     {
-        for (std::size_t i = m_free.size(); i-- > 0;) { // speeds rise with the index
+        for (std::size_t i = m_free.size(); i-- > 0;) { // fastest first
             while (m_free[i] > 0) {
-                const auto task = m_admission.pop(Upstream, at(m_clock.now()));
+                const auto task = m_admission.pop(Upstream, toTimePoint(m_clock.now()));
                 if (!task)
                     return;
                 --m_free[i];
                 m_admission.taskStarted(task->team, task->jobClass, Upstream);
                 const double seconds = m_workload.tasks[task->token].work / m_workload.speeds[i];
-                m_clock.after(seconds, [this, i, seconds, it = *task] { end(i, seconds, it); });
+                m_clock.after(seconds,
+                              [this, i, seconds, it = *task] { onTaskEnded(i, seconds, it); });
             }
         }
     }
 
-    void end(std::size_t worker, double seconds, const QueuedTask &task)
+    // A task has ended after `seconds`; frees its slot.
+    void onTaskEnded(std::size_t worker, double seconds, const QueuedTask &task)
     {
         ++m_free[worker];
-        m_admission.taskEnded(task.team, task.jobClass, Upstream, span(seconds));
+        m_admission.taskEnded(task.team, task.jobClass, Upstream, toDuration(seconds));
         const std::size_t job = m_workload.tasks[task.token].job;
-        if (--m_open[job] == 0)
+        if (--m_openTasks[job] == 0)
             m_result.jobs[job] = {End::Completed, m_clock.now() - m_workload.jobs[job].arrival};
         dispatch();
     }
@@ -602,14 +658,14 @@
     Workload m_workload;
     Clock m_clock;
     Admission m_admission;
-    std::vector<std::uint32_t> m_free;
+    std::vector<std::uint32_t> m_free; // slots of each worker
     RunResult m_result;
-    std::vector<std::size_t> m_open;
+    std::vector<std::size_t> m_openTasks; // tasks of each job that have not ended
 };
 
-// The ideal without load: each job alone on the fleet, the longest task first, each task on the
-// slot where it ends first.
-inline RunResult emptyFleet(const Options &options, const Workload &workload)
+// The ideal without load: each job has the fleet to itself. Its tasks start in the order of falling
+// run time, each in the slot where it ends first.
+inline RunResult runOnEmptyFleet(const Options &options, const Workload &workload)
 {
     RunResult result;
     for (const Job &job : workload.jobs) {
