--- a/src/callerresponses.cpp
+++ b/src/callerresponses.cpp
@@ -115,7 +115,7 @@
 HttpResponse notReadyResponse()
 {
     HttpResponse response = toResponse(
-        CallerError{503, "not_ready", "", "this entry accepts no requests now; use another one"});
+        CallerError{503, "not_ready", "", "this entry takes no requests now; use another one"});
     addRetryAfter(response, std::chrono::seconds(1));
     return response;
 }
--- a/src/fleetconfig.cpp
+++ b/src/fleetconfig.cpp
@@ -219,7 +219,7 @@
         if (seen.insert(key).second)
             visitEntry(entry.first, entry.second, entryPath);
         else
-            addError(entry.first, entryPath, "is a duplicate field");
+            addError(entry.first, entryPath, "is given twice");
     }
 }
 
@@ -235,8 +235,7 @@
             std::string known;
             for (const Field &field : fields)
                 known.append(known.empty() ? "" : ", ").append(field.name);
-            addError(lineOf(key), at, valueText(value),
-                     "unknown field; the fields known here are: " + known);
+            addError(lineOf(key), at, valueText(value), "unknown field; known here: " + known);
             return;
         }
         present.insert(it->name);
@@ -379,7 +378,7 @@
             continue;
         if (std::find(config.upstreams.begin(), config.upstreams.end(), upstream)
             != config.upstreams.end()) {
-            addError(node[i], at, "is listed twice");
+            addError(node[i], at, "is given twice");
             continue;
         }
         config.upstreams.push_back(upstream);
@@ -407,7 +406,7 @@
 {
     for (const UpstreamReference &it : m_references) {
         if (!config.upstreams.contains(it.upstream))
-            addError(it.line, it.path, it.upstream, "is not an upstream of this file");
+            addError(it.line, it.path, it.upstream, "is no upstream of this file");
     }
 }
 
@@ -485,7 +484,7 @@
             reader.addError(1, "", std::to_string(documents.size()) + " documents",
                             "the file must hold exactly one YAML document");
     } catch (const YAML::Exception &ex) {
-        reader.addError(ex.mark.line + 1, "", "", "invalid YAML: " + ex.msg);
+        reader.addError(ex.mark.line + 1, "", "", "no valid YAML: " + ex.msg);
     }
     ConfigErrors errors = reader.takeErrors();
     if (!errors.empty())
--- a/src/jsonfields.cpp
+++ b/src/jsonfields.cpp
@@ -17,7 +17,7 @@
 {
     const Json::Value &value = field(json, name);
     if (!value.isUInt64() || value.asUInt64() > max)
-        throw FieldError{std::string("field is not an integer in range: ") + name};
+        throw FieldError{std::string("field is no number in range: ") + name};
     return value.asUInt64();
 }
 
@@ -25,7 +25,7 @@
 {
     const Json::Value &value = field(json, name);
     if (!value.isString())
-        throw FieldError{std::string("field is not a string: ") + name};
+        throw FieldError{std::string("field is no string: ") + name};
     return value.asString();
 }
 
@@ -33,7 +33,7 @@
 {
     const Json::Value &value = field(json, name);
     if (!value.isBool())
-        throw FieldError{std::string("field is not a boolean: ") + name};
+        throw FieldError{std::string("field is no boolean: ") + name};
     return value.asBool();
 }
 
@@ -41,7 +41,7 @@
 {
     const Json::Value &value = field(json, name);
     if (!value.isArray())
-        throw FieldError{std::string("field is not an array: ") + name};
+        throw FieldError{std::string("field is no array: ") + name};
     return value;
 }
 
--- a/src/operatorapi.cpp
+++ b/src/operatorapi.cpp
@@ -145,8 +145,7 @@
         && request.path != StatusPath)
         return false;
     if (request.path != StatusPath && !m_hooks.isReady())
-        m_hooks.respond(
-            id, errorResponse(503, "not_ready", "this entry has not read the whole log yet"));
+        m_hooks.respond(id, errorResponse(503, "not_ready", "the log has not been read yet"));
     else if (request.path == ConfigPath && request.method == "PUT")
         apply(id, request);
     else
@@ -157,7 +156,7 @@
 HttpResponse OperatorApi::readOnlyResponse(const HttpRequest &request) const
 {
     if (request.method != (request.path == PlanPath ? "POST" : "GET"))
-        return errorResponse(405, "bad_request", "method not allowed for this path");
+        return errorResponse(405, "bad_request", "no such method for this path");
     if (request.path == ConfigPath)
         return configResponse();
     if (request.path == HistoryPath)
@@ -332,8 +331,7 @@
             it->second.request,
             m_hooks.withdraw(it->first)
                 ? errorResponse(503, "log_unreachable", "nothing has changed; try again later")
-                : errorResponse(504, "unclear",
-                                "the log service has not answered; see the history"));
+                : errorResponse(504, "unclear", "the log has not answered; see the history"));
         it = m_pendingApplies.erase(it);
     }
     m_timer.startAt(next);
--- a/src/recordcodec.cpp
+++ b/src/recordcodec.cpp
@@ -27,7 +27,7 @@
 {
     const Incarnation incarnation{number(json, name)};
     if (incarnation.value == 0)
-        throw FieldError{std::string("field does not name a process: ") + name};
+        throw FieldError{std::string("field names no process: ") + name};
     return incarnation;
 }
 
@@ -178,7 +178,7 @@
     } catch (const Json::Exception &ex) {
         errors = ex.what();
     }
-    return CodecError{"invalid JSON: " + errors};
+    return CodecError{"no JSON: " + errors};
 }
 
 Json::Value memberToJson(const Member &member)
--- a/tests/callerapi_test.cpp
+++ b/tests/callerapi_test.cpp
@@ -125,8 +125,7 @@
     EXPECT_EQ(refusalOf(post(std::string(5000, ' '))), "413 body: must have at most 4096 bytes");
     for (const std::string &body : {std::string("{"), std::string(), std::string(4000, '['),
                                     std::string(R"({"id":"a","id":"b"})")})
-        EXPECT_TRUE(refusalOf(post(body)).starts_with("400 body: invalid JSON"))
-            << body.substr(0, 20);
+        EXPECT_TRUE(refusalOf(post(body)).starts_with("400 body: no JSON")) << body.substr(0, 20);
 }
 
 TEST(CallerApi, Allows370TasksAndRefuses371)
