--- a/src/decisionloop.h
+++ b/src/decisionloop.h
@@ -36,7 +36,7 @@
     // of bootNow(), and performs the effects that it added to the outbox. All inputs of one
     // iteration of the event loop are followed by one processPending().
     template <typename Input>
-    void step(Input input)
+    void handleInput(Input input)
     {
         Outbox out;
         input(m_decisions, bootNow(), out);
--- a/src/dispatchagent.cpp
+++ b/src/dispatchagent.cpp
@@ -121,7 +121,7 @@
         m_metrics.add("cactuscove_worker_calls_total", {{"call", kind}});
         m_http.start(platform::makeCall(command), [this, call = command.call, parse,
                                                    onReply](const platform::CallResult &result) {
-            m_decisions.step([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
+            m_decisions.handleInput([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
                 (runner.*onReply)(call, parse(result), now, out);
             });
         });
@@ -167,7 +167,7 @@
             return m_server->respond(id, {error.status, "{}"});
         }
         const platform::WorkerReport &it = valueOf(report);
-        m_decisions.step([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
+        m_decisions.handleInput([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
             if (it.info)
                 runner.onWorkerInfo(*it.info, now, out);
             else
@@ -283,7 +283,7 @@
                     const std::vector<PeerMessage> &messages)
     {
         it.lastMessageAt = bootNow();
-        m_decisions.step([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
+        m_decisions.handleInput([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
             if (it.entry)
                 runner.onEntryHeard(it.entry->instance, now, out);
             for (const PeerMessage &message : messages)
@@ -338,7 +338,7 @@
     void sendLoadsTo(EntryConnection &it, const std::vector<WorkerLoad> &loads)
     {
         for (WorkerLoad load : loads) {
-            load.assignments = m_runner.lastAssignmentNumberOf(it.entry->instance);
+            load.lastAssignmentNumber = m_runner.lastAssignmentNumberOf(it.entry->instance);
             it.link->send(std::move(load));
         }
         it.loadVersion = m_runner.loadVersion();
@@ -392,7 +392,7 @@
 
     void beginShutdown() override
     {
-        m_decisions.step(
+        m_decisions.handleInput(
             [](TaskRunner &runner, TimePoint, RunnerOutbox &out) { runner.beginShutdown(out); });
         if (m_runner.openTasks() > 0)
             m_shutdownTimer.startIn(std::chrono::duration_cast<Duration>(
--- a/src/dispatchcodec.cpp
+++ b/src/dispatchcodec.cpp
@@ -47,7 +47,7 @@
 template <typename A>
 void fields(A &a, PeerHeartbeat &it)
 {
-    a(it.sentAt, it.entries);
+    a(it.sentAt, it.connectedEntries);
 }
 
 template <typename A>
@@ -72,7 +72,7 @@
 void fields(A &a, AssignTask &it)
 {
     a(it.task, it.attempt, it.workerId, it.queue, it.payload, it.needs, it.priority, it.expectedRun,
-      it.startDeadline, it.endDeadline, it.objectiveTime, it.schedulingKey, it.number);
+      it.startDeadline, it.endDeadline, it.objectiveTime, it.schedulingKey, it.assignmentNumber);
 }
 
 template <typename A>
@@ -97,7 +97,7 @@
 void fields(A &a, WorkerLoad &it)
 {
     a(it.workerId, it.free, it.queued, it.coreReleaseRate, it.isUsable, it.slowness, it.failureRate,
-      it.assignments);
+      it.lastAssignmentNumber);
 }
 
 template <typename A>
--- a/src/dispatchentry.cpp
+++ b/src/dispatchentry.cpp
@@ -158,18 +158,18 @@
             m_dispatcher.config(), host == request.headers.end() ? "" : host->second, request.path);
         if (!match.queue)
             return respond(id, platform::formatNoQueue());
-        if (request.method == "GET" && match.rest.empty())
+        if (request.method == "GET" && match.pathSuffix.empty())
             return respond(id,
                            platform::formatQueueState(m_dispatcher.waitingJobs(match.queue->name)));
-        if (!platform::isJobId(match.rest))
+        if (!platform::isJobId(match.pathSuffix))
             return respond(id, platform::formatError({"id", "not a job's id"}));
         if (request.method != "POST")
             return respond(id, platform::formatUnknownJob());
-        auto job = platform::parseJob(match.rest, request.body);
+        auto job = platform::parseJob(match.pathSuffix, request.body);
         if (!isOk(job)) {
             log({Severity::Info,
                  "job_invalid",
-                 {{"job", std::string(match.rest)},
+                 {{"job", std::string(match.pathSuffix)},
                   {"queue", match.queue->name},
                   {"field", errorOf(job).field},
                   {"reason", errorOf(job).reason}}});
@@ -179,18 +179,20 @@
         m_arrivalTimes[id] = bootNow();
         const Duration timeout
             = platform::callerTimeout(request).value_or(defaultCallerTimeout(*match.queue));
-        m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
-            dispatcher.submit(CallerId{id.value}, std::move(valueOf(job)), timeout, now, out);
-        });
+        m_decisions.handleInput(
+            [&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
+                dispatcher.submit(CallerId{id.value}, std::move(valueOf(job)), timeout, now, out);
+            });
     }
 
     void onCallerClosed(RequestId id)
     {
         if (m_arrivalTimes.erase(id) == 0)
             return; // answered
-        m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
-            dispatcher.callerDisconnected(CallerId{id.value}, now, out);
-        });
+        m_decisions.handleInput(
+            [&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
+                dispatcher.callerDisconnected(CallerId{id.value}, now, out);
+            });
     }
 
     void onReadinessRequest(RequestId id, const HttpRequest &request)
@@ -244,7 +246,7 @@
                          {"reason", errorOf(config).reason}}});
         if (valueOf(config).version <= m_dispatcher.config().version)
             return;
-        m_decisions.step([&](JobDispatcher &dispatcher, TimePoint, DispatcherOutbox &out) {
+        m_decisions.handleInput([&](JobDispatcher &dispatcher, TimePoint, DispatcherOutbox &out) {
             dispatcher.configure(std::move(valueOf(config)), out);
         });
         m_metrics.set("cactuscove_config_revision", {},
@@ -362,29 +364,31 @@
         if (agent == m_agentLinks.end() || agent->second != id)
             return; // the agent has opened a newer connection
         m_agentLinks.erase(agent);
-        m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
-            dispatcher.onAgentDisconnected(peer->instance, now, out);
-        });
+        m_decisions.handleInput(
+            [&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
+                dispatcher.onAgentDisconnected(peer->instance, now, out);
+            });
     }
 
     void onMessages(LinkId id, const std::vector<PeerMessage> &messages)
     {
         Link &it = m_links.at(id);
         it.lastMessageAt = bootNow();
-        m_decisions.step([&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
-            for (const PeerMessage &message : messages) {
-                if (const auto *hello = std::get_if<PeerHello>(&message))
-                    onHello(id, it, *hello, now, out);
-                else if (const auto *known = std::get_if<KnownEntries>(&message))
-                    addEntryAddresses(*known);
-                else if (const auto *started = std::get_if<EntriesStarted>(&message))
-                    for (const EntryStart &start : started->starts)
-                        onEntryStarted(start);
-                else if (it.peer && it.peer->role == Role::Agent) {
-                    dispatcher.onMessage(it.peer->instance, message, now, out);
+        m_decisions.handleInput(
+            [&](JobDispatcher &dispatcher, TimePoint now, DispatcherOutbox &out) {
+                for (const PeerMessage &message : messages) {
+                    if (const auto *hello = std::get_if<PeerHello>(&message))
+                        onHello(id, it, *hello, now, out);
+                    else if (const auto *known = std::get_if<KnownEntries>(&message))
+                        addEntryAddresses(*known);
+                    else if (const auto *started = std::get_if<EntriesStarted>(&message))
+                        for (const EntryStart &start : started->starts)
+                            onEntryStarted(start);
+                    else if (it.peer && it.peer->role == Role::Agent) {
+                        dispatcher.onAgentMessage(it.peer->instance, message, now, out);
+                    }
                 }
-            }
-        });
+            });
     }
 
     void onHello(LinkId id, Link &it, const PeerHello &hello, TimePoint now, DispatcherOutbox &out)
--- a/src/dispatchmessages.h
+++ b/src/dispatchmessages.h
@@ -29,7 +29,7 @@
 {
     TimePoint sentAt; // sender's clock
     // Number of entries that an agent has a connection to; 0 from an entry.
-    std::uint32_t entries = 0;
+    std::uint32_t connectedEntries = 0;
 };
 
 // Addresses at which entries accept connections, so that a process that knows one entry finds the
@@ -69,7 +69,7 @@
     TimePoint objectiveTime; // agent's clock; a later end misses the objective
     // Agent's clock; when capacity is short, the task with the earliest key starts first.
     TimePoint schedulingKey;
-    std::uint64_t number = 0; // number of this assignment on this connection, from 1
+    std::uint64_t assignmentNumber = 0; // number of this assignment on this connection, from 1
 };
 
 // Entry to agent: do not start this attempt, or stop it. The agent confirms with StartRefused or
@@ -104,8 +104,8 @@
     bool isUsable = false;            // the worker takes tasks
     double slowness = 1;              // run times here as a multiple of the expected ones
     double failureRate = 0;           // share of failed tasks among the newest ends, 0 to 1
-    // Newest AssignTask::number of the entry that this load takes into account.
-    std::uint64_t assignments = 0;
+    // Newest AssignTask::assignmentNumber of the entry that this load takes into account.
+    std::uint64_t lastAssignmentNumber = 0;
 };
 
 // Agent to entry: the attempt runs.
--- a/src/dispatchtypes.h
+++ b/src/dispatchtypes.h
@@ -53,7 +53,7 @@
     Resources needs;     // of each task
     std::uint32_t taskCount = 0;
     // Run time of one task as the caller estimates it; 0: not declared.
-    Duration declared{};
+    Duration declaredRunTime{};
     // Label that the worker must have; empty: any worker.
     std::string requiredLabel;
     // Label of the workers that run the tasks fastest; empty: none.
@@ -65,7 +65,7 @@
 struct QueueMatch
 {
     const QueueSettings *queue = nullptr; // nullptr: the request belongs to no queue
-    std::string_view rest;                // the path after the queue's prefix
+    std::string_view pathSuffix;          // the path after the queue's prefix
 };
 
 // Finds the queue of a request. `host` may end in a port. The result points into `config` and
--- a/src/jobdispatcher.cpp
+++ b/src/jobdispatcher.cpp
@@ -186,7 +186,7 @@
     job.upstream = queue->upstream;
     job.arrivedAt = now;
     job.deadline = now + callerTimeout - AnswerMargin;
-    job.expectedRun = m_runTimes.expect(spec.queue, spec.declared);
+    job.expectedRun = m_runTimes.expect(spec.queue, spec.declaredRunTime);
     job.spec = std::move(spec);
     const Duration makespan = expectedMakespan(job);
     job.objectiveAt = now + queue->targetLatency - AnswerMargin
@@ -400,7 +400,7 @@
     message.endDeadline = *endDeadline;
     message.objectiveTime = *m_directory.agentClockAt(worker->agent, job.objectiveAt);
     message.schedulingKey = *m_directory.agentClockAt(worker->agent, job.latestStart);
-    message.number = m_directory.reserve(*worker, job.priority, job.spec.needs);
+    message.assignmentNumber = m_directory.reserve(*worker, job.priority, job.spec.needs);
     out.emplace_back(SendToAgent{worker->agent, std::move(message)});
     return true;
 }
--- a/src/jobdispatcher.h
+++ b/src/jobdispatcher.h
@@ -104,8 +104,8 @@
     // or the lostAgentTimeout.
     void onAgentDisconnected(Incarnation agent, TimePoint now, DispatcherOutbox &out);
     // Any message of a connected agent but the hello.
-    void onMessage(Incarnation agent, const PeerMessage &message, TimePoint now,
-                   DispatcherOutbox &out);
+    void onAgentMessage(Incarnation agent, const PeerMessage &message, TimePoint now,
+                        DispatcherOutbox &out);
     // Ends jobs whose time has run out and assigns waiting tasks to workers. To be called after
     // inputs, once for several of them, and at nextTimer().
     void processPending(TimePoint now, DispatcherOutbox &out);
--- a/src/jobdispatcheragents.cpp
+++ b/src/jobdispatcheragents.cpp
@@ -70,14 +70,14 @@
     }
 }
 
-void JobDispatcher::onMessage(Incarnation agent, const PeerMessage &message, TimePoint now,
-                              DispatcherOutbox &out)
+void JobDispatcher::onAgentMessage(Incarnation agent, const PeerMessage &message, TimePoint now,
+                                   DispatcherOutbox &out)
 {
     expireAfterSuspension(now, out);
     m_directory.agentHeard(agent, now);
     if (const auto *heartbeat = std::get_if<PeerHeartbeat>(&message)) {
         m_directory.updateAgentClock(agent, heartbeat->sentAt, now);
-        m_entryCounts[agent] = heartbeat->entries;
+        m_entryCounts[agent] = heartbeat->connectedEntries;
     } else if (const auto *update = std::get_if<WorkerUpdate>(&message)) {
         m_directory.updateWorker(agent, *update);
     } else if (const auto *load = std::get_if<WorkerLoad>(&message)) {
@@ -185,7 +185,7 @@
     onTaskStarted(agent, {message.task, message.attempt}, now, out);
     Task &task = job->tasks[message.task.index];
     if (message.end == TaskEnd::Done) {
-        m_runTimes.learn(job->spec.queue, message.runTime, job->spec.declared);
+        m_runTimes.learn(job->spec.queue, message.runTime, job->spec.declaredRunTime);
         setState(number, *job, task, State::Done);
         if (job->doneCount == job->tasks.size())
             finish(number, {JobOutcome::Completed, {}, {}}, now, out);
--- a/src/runtimemodel.cpp
+++ b/src/runtimemodel.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void RunTimeModel::learn(std::string_view queue, Duration runTime, Duration declared)
+void RunTimeModel::learn(std::string_view queue, Duration runTime, Duration declaredRunTime)
 {
     auto it = m_queues.find(queue);
     if (it == m_queues.end())
@@ -34,22 +34,22 @@
     const double limit
         = it->second.meanMs == 0 ? toMs(runTime) : MaxRatioToMean * it->second.meanMs;
     updateMean(it->second.meanMs, std::min(toMs(runTime), limit), ++it->second.samples);
-    if (declared > Duration{})
-        updateMean(it->second.declaredMeanMs, toMs(declared), ++it->second.declaredSamples);
+    if (declaredRunTime > Duration{})
+        updateMean(it->second.declaredMeanMs, toMs(declaredRunTime), ++it->second.declaredSamples);
 }
 
 // The queue's mean, scaled by the square root of the ratio of the declaration to the mean
 // declaration. Reason: if declarations are off by as much as run times vary, they explain half of
 // the variation.
-Duration RunTimeModel::expect(std::string_view queue, Duration declared) const
+Duration RunTimeModel::expect(std::string_view queue, Duration declaredRunTime) const
 {
     const auto it = m_queues.find(queue);
     if (it == m_queues.end() || it->second.meanMs == 0)
-        return declared > Duration{} ? declared : fromMs(DefaultRunTimeMs);
+        return declaredRunTime > Duration{} ? declaredRunTime : fromMs(DefaultRunTimeMs);
     const Queue &known = it->second;
-    if (declared <= Duration{} || known.declaredMeanMs == 0)
+    if (declaredRunTime <= Duration{} || known.declaredMeanMs == 0)
         return fromMs(known.meanMs);
-    return fromMs(known.meanMs * std::sqrt(toMs(declared) / known.declaredMeanMs));
+    return fromMs(known.meanMs * std::sqrt(toMs(declaredRunTime) / known.declaredMeanMs));
 }
 
 } // namespace cactuscove
--- a/src/runtimemodel.h
+++ b/src/runtimemodel.h
@@ -16,13 +16,13 @@
 class RunTimeModel
 {
 public:
-    // To be called when a task has ended as done. `declared` is 0 if the caller declared no run
-    // time.
-    void learn(std::string_view queue, Duration runTime, Duration declared);
+    // To be called when a task has ended as done. `declaredRunTime` is 0 if the caller declared no
+    // run time.
+    void learn(std::string_view queue, Duration runTime, Duration declaredRunTime);
 
     // Run time to expect of a task. Until a task of the queue has ended, it is the declared one, or
     // 200 ms without a declaration.
-    Duration expect(std::string_view queue, Duration declared) const;
+    Duration expect(std::string_view queue, Duration declaredRunTime) const;
 
 private:
     // Means of one queue.
--- a/src/taskrunner.cpp
+++ b/src/taskrunner.cpp
@@ -151,7 +151,7 @@
 }
 
 void TaskRunner::refuse(Incarnation entry, const AssignTask &assignment, StartRefusal reason,
-                        std::string_view worker, RunnerOutbox &out)
+                        std::string_view workerId, RunnerOutbox &out)
 {
     out.emplace_back(SendToEntry{entry, StartRefused{assignment.task, assignment.attempt, reason}});
     out.emplace_back(LogEvent{Severity::Info,
@@ -159,7 +159,7 @@
                               {{"job", assignment.task.jobId},
                                {"task", std::to_string(assignment.task.index)},
                                {"attempt", std::to_string(assignment.attempt)},
-                               {"worker", std::string(worker)},
+                               {"worker", std::string(workerId)},
                                {"reason", std::string(nameOf(reason))}}});
 }
 
@@ -222,7 +222,8 @@
     const auto from = m_entries.find(entry);
     if (from == m_entries.end())
         return;
-    from->second.lastAssignment = std::max(from->second.lastAssignment, assignment.number);
+    from->second.lastAssignment
+        = std::max(from->second.lastAssignment, assignment.assignmentNumber);
     ++m_loadVersion;
     Worker *worker = findWorker(assignment.workerId);
     if (now > assignment.startDeadline)
--- a/src/taskrunner.h
+++ b/src/taskrunner.h
@@ -34,12 +34,12 @@
 // Time on the clock of a worker process, in ms since its start.
 using WorkerClock = StrongId<struct WorkerClockTag, std::int64_t>;
 
-// Effects: calls to a worker. `worker` names one process of the worker; any other process at the
+// Effects: calls to a worker. `workerId` names one process of the worker; any other process at the
 // address refuses the call. A call without a reply after `timeout` counts as unanswered.
 struct StartRun
 {
     WorkerCallId call;
-    std::string worker;
+    std::string workerId;
     std::string address;
     TaskId task;
     std::uint32_t attempt = 0;
@@ -52,7 +52,7 @@
 struct StopRun
 {
     WorkerCallId call;
-    std::string worker;
+    std::string workerId;
     std::string address;
     TaskId task;
     std::uint32_t attempt = 0;
@@ -63,13 +63,13 @@
 struct PollRuns
 {
     WorkerCallId call;
-    std::string worker;
+    std::string workerId;
     std::string address;
     // Number of the last end received; the worker may forget the ends up to it.
     std::uint64_t acknowledged = 0;
     std::optional<WorkerClock> leaseUntil; // none: it is not renewed
     // Without a new end, the worker may hold back its reply for this long.
-    Duration wait{};
+    Duration maxWait{};
     Duration timeout{};
 };
 
@@ -108,7 +108,7 @@
 {
     TaskId task;
     std::uint32_t attempt = 0;
-    int percent = 0; // of its work, 0 to 100
+    int percentDone = 0; // of its work, 0 to 100
 };
 
 // A run that has ended, in a list of the worker.
@@ -209,7 +209,8 @@
     std::vector<std::string> orphanFreeWorkers() const;
     // All known workers; as gone during a shutdown.
     std::vector<WorkerUpdate> workers() const;
-    // Load of each worker; WorkerLoad::assignments is not filled in, as it differs for each entry.
+    // Load of each worker; WorkerLoad::lastAssignmentNumber is not filled in, as it differs for
+    // each entry.
     std::vector<WorkerLoad> loads(TimePoint now) const;
     std::uint64_t lastAssignmentNumberOf(Incarnation entry) const; // newest on this connection
     std::uint64_t loadVersion() const { return m_loadVersion; }    // increases when loads() changes
@@ -258,7 +259,7 @@
     // still counts.
     struct PendingCall
     {
-        std::string worker;
+        std::string workerId;
         TaskId task; // of a start or stop; not set for a poll
         std::uint32_t attempt = 0;
         TimePoint sentAt{};
@@ -329,7 +330,7 @@
                     RunnerOutbox &out);
     // Refuses an assignment that was not queued, or not any more.
     void refuse(Incarnation entry, const AssignTask &assignment, StartRefusal reason,
-                std::string_view worker, RunnerOutbox &out);
+                std::string_view workerId, RunnerOutbox &out);
     // All runs at the worker have ended: their lease has expired, or the worker is gone.
     void endAllRunsAsLost(Worker &worker, std::string_view reason, TimePoint now,
                           RunnerOutbox &out);
--- a/src/taskrunnercalls.cpp
+++ b/src/taskrunnercalls.cpp
@@ -53,13 +53,13 @@
                                         PendingCall &endedCall, TimePoint now, RunnerOutbox &out)
 {
     auto node = m_calls.extract(call);
-    Worker *worker = node.empty() ? nullptr : findWorker(node.mapped().worker);
+    Worker *worker = node.empty() ? nullptr : findWorker(node.mapped().workerId);
     if (!worker)
         return nullptr;
     endedCall = std::move(node.mapped());
     if (!isOtherProcess)
         return worker;
-    onWorkerLeft(endedCall.worker, now, out);
+    onWorkerLeft(endedCall.workerId, now, out);
     return nullptr;
 }
 
@@ -285,15 +285,15 @@
     const bool isBusy = !worker.tasks.empty() || !worker.orphans.empty();
     PollRuns poll;
     poll.call = worker.newestPoll = registerCall({worker.info.id, {}, 0, now});
-    poll.worker = worker.info.id;
+    poll.workerId = worker.info.id;
     poll.address = worker.info.address;
     poll.acknowledged = worker.acknowledged;
-    poll.wait = !worker.isSynced || worker.unansweredPolls > 0 ? Duration{}
-                : isBusy                                       ? BusyPollWait
-                                                               : IdlePollWait;
+    poll.maxWait = !worker.isSynced || worker.unansweredPolls > 0 ? Duration{}
+                   : isBusy                                       ? BusyPollWait
+                                                                  : IdlePollWait;
     worker.nextPollAt
-        = now + poll.wait + PollMargin * (1 + std::min(worker.unansweredPolls, MaxPollBackOff));
-    poll.timeout = poll.wait + CallTimeout;
+        = now + poll.maxWait + PollMargin * (1 + std::min(worker.unansweredPolls, MaxPollBackOff));
+    poll.timeout = poll.maxWait + CallTimeout;
     // Orphans are to be stopped, so their lease is not renewed. A worker that does not answer is
     // sent no renewal, since it could be carried out late.
     if (worker.isSynced && worker.orphans.empty() && !worker.isUnresponsive) {
@@ -363,7 +363,7 @@
         const auto it = worker.tasks.find(run.task);
         if (it != worker.tasks.end() && it->second.assignment.attempt == run.attempt) {
             markRunning(worker, it->second, now, out);
-            it->second.percentDone = run.percent;
+            it->second.percentDone = run.percentDone;
             it->second.percentDoneAt = now;
             continue;
         }
--- a/src/workerdirectory.cpp
+++ b/src/workerdirectory.cpp
@@ -92,7 +92,7 @@
     worker.load = load;
     worker.hasLoad = true;
     worker.unreported.erase(worker.unreported.begin(),
-                            worker.unreported.upper_bound(load.assignments));
+                            worker.unreported.upper_bound(load.lastAssignmentNumber));
 }
 
 std::uint64_t WorkerDirectory::reserve(const WorkerKey &key, int priority, const Resources &needs)
--- a/tests/dispatchcodec_test.cpp
+++ b/tests/dispatchcodec_test.cpp
@@ -25,7 +25,7 @@
     assign.priority = 2;
     assign.expectedRun = 60ms;
     assign.startDeadline = TimePoint(1h);
-    assign.number = 77;
+    assign.assignmentNumber = 77;
     WorkerLoad load;
     load.workerId = "w1";
     load.free = {-5, 1, 0};
--- a/tests/dispatchfleet.cpp
+++ b/tests/dispatchfleet.cpp
@@ -328,7 +328,7 @@
             return;
         const TaskRunner &runner = *agents[agent].runner;
         for (WorkerLoad &load : runner.loads(now)) {
-            load.assignments = runner.lastAssignmentNumberOf(entryId(entry));
+            load.lastAssignmentNumber = runner.lastAssignmentNumberOf(entryId(entry));
             sendToEntry(agent, entryId(entry), std::move(load));
         }
     }
@@ -394,7 +394,7 @@
                     if (links[e][agent].generation != generation)
                         return;
                     links[e][agent].entryHeardAt = now;
-                    dispatcher.onMessage(from, message, now, out);
+                    dispatcher.onAgentMessage(from, message, now, out);
                 });
             });
         }
@@ -554,7 +554,7 @@
                     });
                 return;
             }
-            if (it.id() != order.worker)
+            if (it.id() != order.workerId)
                 return deliverReply(i, agentIncarnation, order, isLost, true);
             execute(it, order, [this, i, agentIncarnation, order, isLost] {
                 deliverReply(i, agentIncarnation, order, isLost, false);
@@ -756,7 +756,7 @@
                       [&](const EndedRun &end) { return end.number <= order.acknowledged; });
         if (order.leaseUntil)
             extendLease(it, *order.leaseUntil);
-        if (order.wait <= Duration{} || !it.ended.empty())
+        if (order.maxWait <= Duration{} || !it.ended.empty())
             return done();
         auto isDone = std::make_shared<bool>(false);
         const auto once = [done, isDone] {
@@ -765,7 +765,7 @@
         };
         it.waitingPolls.push_back(once);
         const std::uint64_t incarnation = it.incarnation;
-        post(now + order.wait, [&it, incarnation, once] {
+        post(now + order.maxWait, [&it, incarnation, once] {
             if (it.incarnation == incarnation)
                 once();
         });
@@ -844,7 +844,7 @@
         job.spec.taskCount = static_cast<std::uint32_t>(
             std::max(1.0, std::round(positiveNormal(kind.meanTasks, 0.4 * kind.meanTasks))));
         const double jobMs = positiveNormal(kind.meanRunMs, kind.runTimeSpread * kind.meanRunMs);
-        job.spec.declared = fromMs(jobMs * (1 + 0.4 * (2 * uniform() - 1)));
+        job.spec.declaredRunTime = fromMs(jobMs * (1 + 0.4 * (2 * uniform() - 1)));
         double longest = 0;
         double sum = 0;
         for (std::uint32_t i = 0; i < job.spec.taskCount; ++i) {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -100,7 +100,7 @@
     EXPECT_EQ(valueOf(job).payload, "x\"y");
     EXPECT_EQ(valueOf(job).taskCount, 4u);
     EXPECT_EQ(valueOf(job).needs, (Resources{500, 256, 0}));
-    EXPECT_EQ(valueOf(job).declared, 90ms);
+    EXPECT_EQ(valueOf(job).declaredRunTime, 90ms);
 }
 
 // Guards against accepting a job and ignoring an unsupported field of it.
@@ -166,7 +166,7 @@
     EXPECT_EQ(pollReply.clock.value, 482113);
     ASSERT_EQ(pollReply.active.size(), 1u);
     EXPECT_EQ(pollReply.active[0].task, (TaskId{"5c0e", 17}));
-    EXPECT_EQ(pollReply.active[0].percent, 41);
+    EXPECT_EQ(pollReply.active[0].percentDone, 41);
     ASSERT_EQ(pollReply.ended.size(), 2u);
     EXPECT_EQ(pollReply.ended[0].end, TaskEnd::Done);
     EXPECT_EQ(pollReply.ended[1].end, TaskEnd::Lost);
@@ -280,7 +280,7 @@
     config.queues[2].host = "b.example";
     config.queues[2].pathPrefix = "/";
     EXPECT_EQ(matchQueue(config, "A.example:80", "/x/y/1").queue, &config.queues[1]);
-    EXPECT_EQ(matchQueue(config, "a.example", "/x/z").rest, "z");
+    EXPECT_EQ(matchQueue(config, "a.example", "/x/z").pathSuffix, "z");
     EXPECT_EQ(matchQueue(config, "a.example", "/z").queue, nullptr);
     EXPECT_EQ(matchQueue(config, "c.example", "/x/").queue, nullptr);
 }
