--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -118,7 +118,7 @@
 void Admission::push(QueuedTask task, TimePoint now)
 {
     m_now = std::max(m_now, now);
-    task.order = m_nextOrder++;
+    task.queueSequence = m_nextOrder++;
     insert(std::move(task));
 }
 
@@ -419,8 +419,8 @@
     queue.backlog += taskCost(target, queue);
     ++classQueue.queued;
     ++target.queued;
-    m_locations[task.token] = {task.upstream, task.jobClass, task.team, task.order};
-    queue.tasks.emplace(task.order, std::move(task));
+    m_locations[task.token] = {task.upstream, task.jobClass, task.team, task.queueSequence};
+    queue.tasks.emplace(task.queueSequence, std::move(task));
 }
 
 // Removes a task from its queue. `location` may refer to an element of m_locations.
@@ -429,7 +429,7 @@
     UpstreamQueue &target = m_upstreams.find(location.upstream)->second;
     ClassQueue &classQueue = target.classes.find(location.jobClass)->second;
     TeamQueue &queue = classQueue.teams.find(location.team)->second;
-    const auto task = queue.tasks.find(location.order);
+    const auto task = queue.tasks.find(location.queueSequence);
     const std::uint64_t token = task->second.token;
     // The expected cost of a task may have changed since it was added, so the backlog shrinks by
     // its mean per task.
--- a/src/admission.h
+++ b/src/admission.h
@@ -38,7 +38,7 @@
     TimePoint deadline;         // likewise not read by Admission
     // Sequence number set by push(). It determines the age of the task, so a task that is passed to
     // pushFront() must still have it.
-    std::int64_t order = 0;
+    std::int64_t queueSequence = 0;
 };
 
 // Keeps one queue for each upstream, class and team. The classes share the slots of an upstream in
@@ -154,7 +154,7 @@
         std::string upstream;
         std::string jobClass;
         std::string team;
-        std::int64_t order = 0;
+        std::int64_t queueSequence = 0;
     };
 
     double classShare(std::string_view jobClass) const;
--- a/src/agenthandover.cpp
+++ b/src/agenthandover.cpp
@@ -134,7 +134,7 @@
     std::erase_if(candidates, isUnresponsive);
     m_heir = candidates[(m_settings.seed + m_self.value) % candidates.size()];
     std::vector<AdoptedJob> own = m_executor.rememberedStarts(now);
-    std::ranges::move(m_jobs.memory(now), std::back_inserter(own));
+    std::ranges::move(m_jobs.rememberedJobs(now), std::back_inserter(own));
     addParts(m_self, std::move(own));
     for (const auto &[subject, adopted] : m_adopted) {
         std::vector<AdoptedJob> jobs;
--- a/src/callerapi.cpp
+++ b/src/callerapi.cpp
@@ -141,7 +141,8 @@
     task.id = reader.id("id");
     const Json::Value &payload = reader.required("payload");
     task.payload = payload.isString() ? payload.asString() : writeJson(payload);
-    task.declared = std::chrono::milliseconds(reader.number("declared_ms", 0, MaxDeclaredMs, 0));
+    task.declaredRunTime
+        = std::chrono::milliseconds(reader.number("declared_ms", 0, MaxDeclaredMs, 0));
     if (reader.has("needs")) {
         const ObjectReader needs(reader.required("needs"), reader.pathOf("needs"),
                                  {"accelerator", "memory_mb"});
@@ -304,7 +305,7 @@
     for (const TaskSpec &task : spec.tasks) {
         addText(task.id);
         addText(task.payload);
-        addNumber(static_cast<std::uint64_t>(task.declared.count()));
+        addNumber(static_cast<std::uint64_t>(task.declaredRunTime.count()));
         addNumber(task.needs.accelerators);
         addNumber(task.needs.memoryMb);
     }
--- a/src/jobhome.cpp
+++ b/src/jobhome.cpp
@@ -138,8 +138,8 @@
         return reply(from, *known, message.sentAt, now, out);
     }
     const ShardKnowledge knowledge = m_deps.shards.knowledge(shard);
-    if (knowledge == ShardKnowledge::Moving)
-        return refuse(from, spec.key, SubmitRefusal::Moving, out);
+    if (knowledge == ShardKnowledge::Transferring)
+        return refuse(from, spec.key, SubmitRefusal::Transferring, out);
     const WitnessedJob *seen = m_deps.shards.reportedJob(hashOf(spec.key));
     if (seen != nullptr && seen->contentHash != 0 && seen->contentHash != spec.contentHash)
         return refuse(from, spec.key, SubmitRefusal::ContentMismatch, out);
--- a/src/jobhome.h
+++ b/src/jobhome.h
@@ -71,7 +71,7 @@
     // The jobs of a shard that this home accepted at epochs below `below`, for a Witness message.
     std::vector<WitnessedJob> witnessed(ShardId shard, Epoch below, TimePoint now) const;
     // Every job that this home knows, for the heir of a process that leaves.
-    std::vector<AdoptedJob> memory(TimePoint now) const;
+    std::vector<AdoptedJob> rememberedJobs(TimePoint now) const;
 
 private:
     // Shortest retry time of an answer that may be different later. Not below the time that a copy
@@ -116,7 +116,7 @@
     {
         TaskState state = TaskState::Queued;
         std::uint64_t token = 0;           // its id in Admission; 0 if it is not queued there
-        std::int64_t order = 0;            // its position by age, kept from its last removal there
+        std::int64_t queueSequence = 0;    // its position by age, kept from its last removal there
         bool isCountedAsStarted = false;   // Admission counts it as started and not ended
         bool isHedged = false;             // a second copy has been started
         bool mayHaveStarted = false;       // there is no proof that no attempt has started
--- a/src/jobhomememory.cpp
+++ b/src/jobhomememory.cpp
@@ -79,7 +79,7 @@
     return result;
 }
 
-std::vector<AdoptedJob> JobHome::memory(TimePoint now) const
+std::vector<AdoptedJob> JobHome::rememberedJobs(TimePoint now) const
 {
     std::vector<AdoptedJob> result;
     for (const auto &[key, job] : m_jobs) {
@@ -99,8 +99,8 @@
     const ShardId shard = shardOf(key);
     const Epoch epoch = m_deps.shards.epoch(shard);
     const ShardKnowledge knowledge = m_deps.shards.knowledge(shard);
-    if (knowledge == ShardKnowledge::Moving)
-        return refuse(from, key, SubmitRefusal::Moving, out);
+    if (knowledge == ShardKnowledge::Transferring)
+        return refuse(from, key, SubmitRefusal::Transferring, out);
     if (const WitnessedJob *seen = m_deps.shards.reportedJob(hashOf(key))) {
         if (const auto answer = provenAnswer(*seen, nullptr))
             out.send(from, JobAnswer{key, epoch, *answer, askedAt});
--- a/src/jobhomeplacement.cpp
+++ b/src/jobhomeplacement.cpp
@@ -44,9 +44,9 @@
 {
     if (!m_agents.contains(report.agent))
         return;
-    m_deps.placement.observe(report, now);
+    m_deps.placement.updateLoad(report, now);
     if (report.failurePercent > 0) {
-        m_deps.health.reported(report.agent, report.failurePercent / 100.0, now);
+        m_deps.health.recordReportedRate(report.agent, report.failurePercent / 100.0, now);
         updateWeight(report.agent, now);
     }
     const AdmissionLoad load{report.upstream, report.draining ? 0 : report.slots};
@@ -131,11 +131,11 @@
                       spec.team,
                       spec.jobClass,
                       spec.upstream,
-                      spec.tasks[handle.index].declared,
+                      spec.tasks[handle.index].declaredRunTime,
                       handle.job->deadline};
     if (end == QueueEnd::Back)
         return m_deps.admission.push(std::move(queued), now);
-    queued.order = task.order;
+    queued.queueSequence = task.queueSequence;
     m_deps.admission.pushFront(std::move(queued));
 }
 
@@ -158,7 +158,7 @@
             }
             m_queued.erase(it);
             handle.job->tasks[handle.index].token = 0;
-            handle.job->tasks[handle.index].order = queued->order;
+            handle.job->tasks[handle.index].queueSequence = queued->queueSequence;
         }
         for (auto it = passedOver.rbegin(); it != passedOver.rend(); ++it)
             m_deps.admission.pushFront(std::move(*it));
--- a/src/jobhometasks.cpp
+++ b/src/jobhometasks.cpp
@@ -80,7 +80,7 @@
     attempt->nextSend = now + ReservationConfirmInterval;
     armTimer(*handle.job, attempt->nextSend);
     ++statsOf(handle.job->spec.upstream).reserved;
-    m_deps.placement.reserved(from, flowOf(handle.job->spec));
+    m_deps.placement.reservationMade(from, flowOf(handle.job->spec));
     if (handle.job->state == JobState::GivingUp) {
         // The CancelTask that was sent for this attempt removes the reservation at the executor.
         removeAttempt(handle, from, message.attempt);
@@ -128,7 +128,7 @@
         // tasks still count, because otherwise only one task of each job would show a failing
         // worker.
         if (message.result.status == TaskStatus::Failed) {
-            m_deps.health.failed(from, now);
+            m_deps.health.recordFailure(from, now);
             updateWeight(from, now);
         }
         return;
@@ -154,7 +154,7 @@
         return onAttemptNotStarted(handle, Duration::zero(), now, out);
     }
     removeAttempt(handle, from, message.attempt);
-    m_deps.health.failed(from, now);
+    m_deps.health.recordFailure(from, now);
     updateWeight(from, now);
     taskFailed(handle, from,
                message.result.status == TaskStatus::Failed ? "task_failed" : "task_lost", now, out);
@@ -288,9 +288,9 @@
     Job &job = *handle.job;
     Task &task = job.tasks[handle.index];
     UpstreamStats &stats = statsOf(job.spec.upstream);
-    m_deps.health.succeeded(agent, result.runTime, now);
+    m_deps.health.recordSuccess(agent, result.runTime, now);
     updateWeight(agent, now);
-    stats.budget.success();
+    stats.budget.recordSuccess();
     addRunTime(stats, result.runTime);
     countAsEnded(handle, result.runTime);
     if (findAttempt(task, agent, attempt) != nullptr)
--- a/src/jobrouter.cpp
+++ b/src/jobrouter.cpp
@@ -263,9 +263,9 @@
         return;
     }
     // A reply to an earlier forward says nothing about the last one.
-    if (message.homeEpoch < job.epoch && message.reason == SubmitRefusal::Moving)
+    if (message.homeEpoch < job.epoch && message.reason == SubmitRefusal::Transferring)
         return;
-    if (message.reason == SubmitRefusal::Moving)
+    if (message.reason == SubmitRefusal::Transferring)
         job.homeTimeoutAt = now + HomeTimeout; // the home is alive and transfers the shard
     job.isAccepted = false;
     job.nextSend = std::min(
--- a/src/jobrouter.h
+++ b/src/jobrouter.h
@@ -55,7 +55,7 @@
     std::size_t rememberedKeyCount() const { return m_memory.size(); }
     std::size_t memoryBytes() const { return m_memory.bytes(); } // of the remembered keys
     // The remembered keys of a shard, for the heir of an entry that leaves.
-    std::vector<AdoptedJob> memory(ShardId shard, TimePoint now) const;
+    std::vector<AdoptedJob> rememberedJobs(ShardId shard, TimePoint now) const;
     // The highest epoch known from the ledger or from a Raise. Every forward carries it.
     Epoch fence(ShardId shard) const;
 
@@ -87,7 +87,7 @@
         bool wasAccepted = false;   // by any home
         Incarnation home;           // of the last forward; 0 before the first one
         Epoch epoch;                // of the last forward
-        std::uint32_t refusals = 0; // NotHome and Moving in a row, at most MaxRefusalShift
+        std::uint32_t refusals = 0; // NotHome and Transferring in a row, at most MaxRefusalShift
         // The key was not remembered before the first message counted in `forwards`, so that it can
         // be forgotten if all of those prove to be undelivered.
         bool ownsRememberedKey = false;
--- a/src/jobrouterwitness.cpp
+++ b/src/jobrouterwitness.cpp
@@ -129,7 +129,7 @@
     out.send(from, AdoptAck{message.subject, message.part});
 }
 
-std::vector<AdoptedJob> JobRouter::memory(ShardId shard, TimePoint now) const
+std::vector<AdoptedJob> JobRouter::rememberedJobs(ShardId shard, TimePoint now) const
 {
     std::vector<AdoptedJob> result;
     m_memory.visit(shard, now, [&](const KeyHash &key, Epoch epoch, TimePoint expiresAt) {
--- a/src/jsonfields.cpp
+++ b/src/jsonfields.cpp
@@ -29,7 +29,7 @@
     return value.asString();
 }
 
-bool flag(const Json::Value &json, const char *name)
+bool boolean(const Json::Value &json, const char *name)
 {
     const Json::Value &value = field(json, name);
     if (!value.isBool())
--- a/src/jsonfields.h
+++ b/src/jsonfields.h
@@ -24,7 +24,7 @@
                      std::uint64_t max = std::numeric_limits<std::uint64_t>::max());
 std::string text(const Json::Value &json, const char *name);
 // A boolean.
-bool flag(const Json::Value &json, const char *name);
+bool boolean(const Json::Value &json, const char *name);
 const Json::Value &array(const Json::Value &json, const char *name);
 
 // Converts to a JSON number. The constructors of Json::Value are ambiguous for std::uint64_t on
--- a/src/ledgersnapshot.cpp
+++ b/src/ledgersnapshot.cpp
@@ -35,8 +35,8 @@
     MemberState state;
     state.member = std::move(valueOf(member));
     state.registeredAt = LogOffset{number(json, "registered_at")};
-    state.isDown = flag(json, "down");
-    state.hasLeft = flag(json, "left");
+    state.isDown = boolean(json, "down");
+    state.hasLeft = boolean(json, "left");
     state.heir = Incarnation{number(json, "heir")};
     for (const Json::Value &voter : array(json, "suspected_by"))
         state.suspectedBy.insert(Incarnation{voter.asUInt64()});
--- a/src/memoryhandover.cpp
+++ b/src/memoryhandover.cpp
@@ -63,7 +63,7 @@
 void MemoryHandover::sendNextParts(TimePoint now, Outbox &out)
 {
     while (m_nextShard < ShardCount && m_parts.size() < MaxPartsInFlight) {
-        const std::vector<AdoptedJob> jobs = m_router.memory(ShardId{m_nextShard++}, now);
+        const std::vector<AdoptedJob> jobs = m_router.rememberedJobs(ShardId{m_nextShard++}, now);
         for (std::size_t i = 0; i < jobs.size(); i += MaxJobsPerPart) {
             const auto begin = jobs.begin() + static_cast<std::ptrdiff_t>(i);
             const auto n = std::min(MaxJobsPerPart, jobs.size() - i);
--- a/src/messagefields.h
+++ b/src/messagefields.h
@@ -67,7 +67,7 @@
 constexpr auto fieldsOf(Tag<TaskSpec>)
 {
     return std::tuple{required("id", &TaskSpec::id), required("payload", &TaskSpec::payload),
-                      optional("declared", &TaskSpec::declared),
+                      optional("declared", &TaskSpec::declaredRunTime),
                       optional("needs", &TaskSpec::needs)};
 }
 
--- a/src/messages.h
+++ b/src/messages.h
@@ -84,7 +84,7 @@
 
 enum class SubmitRefusal {
     NotHome,         // another process is the home, or the epoch differs
-    Moving,          // the shard is being transferred; the entry tries again shortly
+    Transferring,    // the shard is being transferred; the entry tries again shortly
     ContentMismatch, // the id belongs to another job with different content
 };
 
--- a/src/operatorcommands.cpp
+++ b/src/operatorcommands.cpp
@@ -220,7 +220,7 @@
     if (!json)
         return exit;
     m_out << "configuration: " << revisionLine(field(*json, "config")) << '\n'
-          << "log: " << (flag(*json, "log_reachable") ? "reachable" : "not reachable")
+          << "log: " << (boolean(*json, "log_reachable") ? "reachable" : "not reachable")
           << ", next offset " << number(*json, "ledger_next") << '\n'
           << "shards without a home: " << number(*json, "unowned_shards") << '\n'
           << std::left;
--- a/src/placement.cpp
+++ b/src/placement.cpp
@@ -168,7 +168,7 @@
 }
 
 template <PlacementPolicy Policy>
-void BasicPlacement<Policy>::observe(const LoadReport &report, TimePoint now)
+void BasicPlacement<Policy>::updateLoad(const LoadReport &report, TimePoint now)
 {
     m_now = std::max(m_now, now);
     const auto it = m_agents.find(report.agent);
@@ -203,7 +203,7 @@
 {}
 
 template <PlacementPolicy Policy>
-void BasicPlacement<Policy>::reserved(Incarnation agent, std::string_view flow)
+void BasicPlacement<Policy>::reservationMade(Incarnation agent, std::string_view flow)
 {
     const auto it = m_agents.find(agent);
     if (it == m_agents.end())
--- a/src/placement.h
+++ b/src/placement.h
@@ -102,7 +102,7 @@
     void setAgent(Incarnation agent, std::string_view dataCentre);
     void removeAgent(Incarnation agent);
     // Stores a load report, unless a newer one of the same agent has arrived before.
-    void observe(const LoadReport &report, TimePoint now);
+    void updateLoad(const LoadReport &report, TimePoint now);
     // `weight` is that of WorkerHealth, in [0, 1]. An agent of weight 0 is not chosen.
     void setWeight(Incarnation agent, double weight);
     // The home has sent a StartTask message to the agent.
@@ -111,7 +111,7 @@
     void taskEnded(Incarnation agent);
     // The agent answered a sent task with TaskBusy and holds a reservation. `flow` names the class
     // and team of the task, by which agents divide their slots.
-    void reserved(Incarnation agent, std::string_view flow = {});
+    void reservationMade(Incarnation agent, std::string_view flow = {});
     // The reservation was offered a slot, or was withdrawn or lost.
     void reservationEnded(Incarnation agent, std::string_view flow = {});
 
--- a/src/recordcodec.cpp
+++ b/src/recordcodec.cpp
@@ -50,7 +50,7 @@
 {
     ClaimRecord record;
     record.home = nonzeroIncarnation(json, "home");
-    record.transferred = flag(json, "transferred");
+    record.transferred = boolean(json, "transferred");
     for (const Json::Value &it : array(json, "claims")) {
         const auto shard = static_cast<std::uint16_t>(number(it, "shard", ShardCount - 1));
         record.claims.push_back({ShardId{shard}, Epoch{number(it, "epoch")}});
--- a/src/retrybudget.cpp
+++ b/src/retrybudget.cpp
@@ -25,7 +25,7 @@
     , m_tokens(0)
 {}
 
-void RetryBudget::success()
+void RetryBudget::recordSuccess()
 {
     m_tokens = std::min(m_burst, m_tokens + m_perSuccess);
 }
--- a/src/retrybudget.h
+++ b/src/retrybudget.h
@@ -15,7 +15,7 @@
     // 1) and starts empty.
     static RetryBudget create(double perSuccess, double burst);
 
-    void success();
+    void recordSuccess();
     bool trySpend(); // spends a token if there is one; false means that no retry is allowed now
 
     double tokens() const { return m_tokens; }
--- a/src/shardownership.cpp
+++ b/src/shardownership.cpp
@@ -177,7 +177,7 @@
     if (it == m_owned.end())
         return ShardKnowledge::NotHome;
     if (it->second.transfer)
-        return ShardKnowledge::Moving;
+        return ShardKnowledge::Transferring;
     return m_isOutOfContact ? ShardKnowledge::Incomplete : it->second.knowledge;
 }
 
--- a/src/shardownership.h
+++ b/src/shardownership.h
@@ -25,11 +25,11 @@
 
 // What this agent knows of the jobs of a shard.
 enum class ShardKnowledge {
-    NotHome,    // another process, or none, is the home
-    Asking,     // the witness round is still running
-    Complete,   // a job that is not known here is new
-    Incomplete, // the round has ended without all answers; whether an unknown job is new is open
-    Moving,     // being transferred to another agent; takes no new jobs
+    NotHome,      // another process, or none, is the home
+    Asking,       // the witness round is still running
+    Complete,     // a job that is not known here is new
+    Incomplete,   // the round has ended without all answers; whether an unknown job is new is open
+    Transferring, // being transferred to another agent; takes no new jobs
 };
 
 // What a transfer needs to know of the jobs of a shard. Implemented by JobHome.
@@ -102,7 +102,7 @@
     struct OwnedShard
     {
         Epoch epoch;
-        ShardKnowledge knowledge = ShardKnowledge::Asking; // never NotHome or Moving
+        ShardKnowledge knowledge = ShardKnowledge::Asking; // never NotHome or Transferring
         TimePoint roundEnd = NeverTime;                    // time limit of the witness round
         TimePoint nextRaise = NeverTime;                   // never if no answer is missing
         bool isRoundOver = false;
--- a/src/types.h
+++ b/src/types.h
@@ -80,9 +80,9 @@
 // One task of a job, as the caller submitted it.
 struct TaskSpec
 {
-    std::string id;      // unique within the job
-    std::string payload; // passed to the upstream unchanged
-    Duration declared{}; // the caller's estimate, a hint only; 0 if it gave none
+    std::string id;             // unique within the job
+    std::string payload;        // passed to the upstream unchanged
+    Duration declaredRunTime{}; // the caller's estimate, a hint only; 0 if it gave none
     TaskResources needs;
     bool operator==(const TaskSpec &) const = default;
 };
--- a/src/workerhealth.cpp
+++ b/src/workerhealth.cpp
@@ -49,7 +49,7 @@
     m_agents.erase(agent);
 }
 
-void WorkerHealth::succeeded(Incarnation agent, Duration, TimePoint now)
+void WorkerHealth::recordSuccess(Incarnation agent, Duration, TimePoint now)
 {
     const auto it = m_agents.find(agent);
     if (it == m_agents.end())
@@ -65,7 +65,7 @@
         state.ejected = false;
 }
 
-void WorkerHealth::failed(Incarnation agent, TimePoint now)
+void WorkerHealth::recordFailure(Incarnation agent, TimePoint now)
 {
     const auto it = m_agents.find(agent);
     if (it == m_agents.end())
@@ -86,7 +86,7 @@
     ejectIfUnhealthy(state, now);
 }
 
-void WorkerHealth::reported(Incarnation agent, double failureRate, TimePoint now)
+void WorkerHealth::recordReportedRate(Incarnation agent, double failureRate, TimePoint now)
 {
     const auto it = m_agents.find(agent);
     if (it == m_agents.end() || it->second.ejected)
--- a/src/workerhealth.h
+++ b/src/workerhealth.h
@@ -27,13 +27,13 @@
     void setAgent(Incarnation agent, std::string_view upstream);
     void removeAgent(Incarnation agent);
     // A task of this home has completed on the worker. `runTime` is not used.
-    void succeeded(Incarnation agent, Duration runTime, TimePoint now);
+    void recordSuccess(Incarnation agent, Duration runTime, TimePoint now);
     // A task of this home has failed on the worker. Not to be called for a task that no worker can
     // run.
-    void failed(Incarnation agent, TimePoint now);
+    void recordFailure(Incarnation agent, TimePoint now);
     // The failure rate in the load report of the agent, in [0, 1]. It counts the tasks of all
     // homes, so this home can eject the worker before tasks of its own have failed there.
-    void reported(Incarnation agent, double failureRate, TimePoint now);
+    void recordReportedRate(Incarnation agent, double failureRate, TimePoint now);
     // A task was sent to an ejected agent as a probe. The next probe is due after its success or
     // after the probe interval.
     void probeSent(Incarnation agent, TimePoint now);
--- a/tests/jobrouter_test.cpp
+++ b/tests/jobrouter_test.cpp
@@ -261,7 +261,7 @@
     EXPECT_EQ(sentOf<SubmitJob>(advance(60ms)).size(), 1u);
     // A transfer may last longer than the 5 s after which a silent home is given up.
     for (int i = 0; i < 20; ++i) {
-        receive(First, SubmitRefused{Key, SubmitRefusal::Moving, {1}});
+        receive(First, SubmitRefused{Key, SubmitRefusal::Transferring, {1}});
         EXPECT_EQ(sentOf<SubmitJob>(advance(1s)).size(), 1u);
     }
 }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -31,7 +31,7 @@
     void add(std::uint64_t agent, std::string_view dataCentre, std::uint32_t freeSlots)
     {
         placement.setAgent(Incarnation{agent}, dataCentre);
-        placement.observe(report(agent, freeSlots), now);
+        placement.updateLoad(report(agent, freeSlots), now);
     }
     std::optional<Incarnation> free(const TaskResources &needs = {})
     {
@@ -54,10 +54,10 @@
     EXPECT_FALSE(free());
     // A report that was made too early to count the sent tasks must not free the slots again.
     now += milliseconds(1);
-    placement.observe(report(1, 3), now);
+    placement.updateLoad(report(1, 3), now);
     EXPECT_FALSE(free());
     now += milliseconds(100);
-    placement.observe(report(1, 1), now);
+    placement.updateLoad(report(1, 1), now);
     EXPECT_TRUE(free());
 }
 
@@ -67,7 +67,7 @@
     add(1, "near", 0);
     LoadReport old = report(1, 8);
     old.age = milliseconds(50);
-    placement.observe(old, now + milliseconds(10));
+    placement.updateLoad(old, now + milliseconds(10));
     EXPECT_FALSE(free());
 }
 
@@ -92,7 +92,7 @@
     placement.setWeight(Incarnation{1}, 1);
     LoadReport draining = report(1, 8);
     draining.draining = true;
-    placement.observe(draining, now);
+    placement.updateLoad(draining, now);
     EXPECT_FALSE(free());
     EXPECT_FALSE(placement.hasUpstream(Upstream));
 }
@@ -109,7 +109,7 @@
     ASSERT_TRUE(choose("bulk/billing"));
     placement.taskSent(Incarnation{1});
     EXPECT_FALSE(choose("bulk/billing")); // the sent task can only end up as a reservation
-    placement.reserved(Incarnation{1}, "bulk/billing");
+    placement.reservationMade(Incarnation{1}, "bulk/billing");
     EXPECT_FALSE(choose("bulk/billing"));
     EXPECT_TRUE(choose("urgent/bookings"));
     placement.reservationEnded(Incarnation{1}, "bulk/billing");
@@ -124,7 +124,7 @@
     const TimePoint now{std::chrono::seconds(1)};
     for (std::size_t i = 0; i < slots.size(); ++i) {
         placement.setAgent(Incarnation{i + 1}, i % 2 == 0 ? "near" : "far");
-        placement.observe(report(i + 1, static_cast<std::uint32_t>(slots[i])), now);
+        placement.updateLoad(report(i + 1, static_cast<std::uint32_t>(slots[i])), now);
     }
     std::vector<int> left = slots;
     while (const auto agent = placement.chooseFree(Upstream, {}, now, {})) {
@@ -141,7 +141,7 @@
     BasicPlacement<RoundRobinPolicy> placement("near", 1);
     for (std::uint64_t i = 1; i <= 3; ++i) {
         placement.setAgent(Incarnation{i}, "near");
-        placement.observe(report(i, 0), TimePoint{});
+        placement.updateLoad(report(i, 0), TimePoint{});
     }
     for (const std::uint64_t expected : {1, 2, 3, 1})
         EXPECT_EQ(placement.chooseFree(Upstream, {}, TimePoint{}, {}), Incarnation{expected});
--- a/tests/workerhealth_test.cpp
+++ b/tests/workerhealth_test.cpp
@@ -25,7 +25,7 @@
     void fail(std::uint64_t agent, int times)
     {
         for (int i = 0; i < times; ++i)
-            health.failed(Incarnation{agent}, now);
+            health.recordFailure(Incarnation{agent}, now);
     }
     int ejected() const
     {
@@ -53,7 +53,7 @@
         if (health.mayProbe(Incarnation{1}, now)) {
             health.probeSent(Incarnation{1}, now);
             EXPECT_FALSE(health.mayProbe(Incarnation{1}, now));
-            health.failed(Incarnation{1}, now);
+            health.recordFailure(Incarnation{1}, now);
             ++probes;
         }
     }
@@ -66,11 +66,11 @@
 // against reported failure rates that eject more workers than the limit.
 TEST_F(WorkerHealthTest, ReportedFailureRateEjectsWithoutOwnFailures)
 {
-    health.reported(Incarnation{1}, 0.4, now);
+    health.recordReportedRate(Incarnation{1}, 0.4, now);
     EXPECT_FALSE(health.isEjected(Incarnation{1}, now));
     EXPECT_EQ(health.weight(Incarnation{1}, now), 1);
     for (std::uint64_t i = 1; i <= 11; ++i)
-        health.reported(Incarnation{i}, 0.9, now);
+        health.recordReportedRate(Incarnation{i}, 0.9, now);
     EXPECT_EQ(ejected(), 5);
 }
 
@@ -82,7 +82,7 @@
     for (int i = 0; i < 10 && health.isEjected(Incarnation{1}, now); ++i) {
         ASSERT_TRUE(health.mayProbe(Incarnation{1}, now));
         health.probeSent(Incarnation{1}, now);
-        health.succeeded(Incarnation{1}, milliseconds(100), now);
+        health.recordSuccess(Incarnation{1}, milliseconds(100), now);
     }
     EXPECT_FALSE(health.isEjected(Incarnation{1}, now));
     EXPECT_GT(health.weight(Incarnation{1}, now), 0.5);
@@ -106,7 +106,7 @@
         if (i % 20 == 0)
             fail(1, 1);
         else
-            health.succeeded(Incarnation{1}, milliseconds(100), now);
+            health.recordSuccess(Incarnation{1}, milliseconds(100), now);
         ASSERT_FALSE(health.isEjected(Incarnation{1}, now));
     }
     fail(1, 2);
@@ -123,7 +123,7 @@
     int retries = 0;
     for (const bool isSuccess : *rc::gen::arbitrary<std::vector<bool>>()) {
         if (isSuccess) {
-            budget.success();
+            budget.recordSuccess();
             ++successes;
         } else {
             retries += budget.trySpend() ? 1 : 0;
@@ -138,11 +138,11 @@
 {
     RetryBudget budget = RetryBudget::create(0.1, 2);
     for (int i = 0; i < 10; ++i)
-        budget.success();
+        budget.recordSuccess();
     EXPECT_TRUE(budget.trySpend());
     EXPECT_FALSE(budget.trySpend());
     for (int i = 0; i < 1000; ++i)
-        budget.success();
+        budget.recordSuccess();
     EXPECT_TRUE(budget.trySpend());
     EXPECT_TRUE(budget.trySpend());
     EXPECT_FALSE(budget.trySpend());
--- a/tools/fleetmodel.h
+++ b/tools/fleetmodel.h
@@ -266,7 +266,7 @@
         it.latestDigests[k] = digest;
         LoadReport aged = digest;
         aged.age = toDuration(m_clock.now() - observedAt);
-        it.placement.observe(aged, toTimePoint(m_clock.now()));
+        it.placement.updateLoad(aged, toTimePoint(m_clock.now()));
     }
 
     // Sends one message; on arrival the receiver takes in the digests of the envelope, then
@@ -462,7 +462,7 @@
     void onBusy(std::size_t index, std::size_t worker, const QueuedTask &task)
     {
         Home &home = *m_homes[index];
-        home.placement.reserved(agentOf(worker), flowOf(task));
+        home.placement.reservationMade(agentOf(worker), flowOf(task));
         home.reserved.emplace(task.token, std::pair(task, worker));
     }
 
@@ -502,7 +502,7 @@
             auto oldest = held;
             for (auto it = home.reserved.begin(); it != home.reserved.end(); ++it) {
                 if (flowOf(it->second.first) == flow
-                    && it->second.first.order < oldest->second.first.order)
+                    && it->second.first.queueSequence < oldest->second.first.queueSequence)
                     oldest = it;
             }
             std::swap(oldest->second.first, held->second.first);
@@ -557,10 +557,10 @@
         home.placement.taskEnded(agentOf(worker));
         home.admission.taskEnded(job.team, job.jobClass, Upstream, toDuration(seconds));
         if (succeeded) {
-            home.health.succeeded(agentOf(worker), toDuration(seconds), now);
-            home.budget.success();
+            home.health.recordSuccess(agentOf(worker), toDuration(seconds), now);
+            home.budget.recordSuccess();
         } else {
-            home.health.failed(agentOf(worker), now);
+            home.health.recordFailure(agentOf(worker), now);
         }
         if (m_options.health)
             home.placement.setWeight(agentOf(worker), home.health.weight(agentOf(worker), now));
--- a/tools/logstandinserver.h
+++ b/tools/logstandinserver.h
@@ -170,7 +170,7 @@
         try {
             for (const std::string &name : json.getMemberNames()) {
                 if (name == "down")
-                    faults.down = flag(json, "down");
+                    faults.down = boolean(json, "down");
                 else if (name == "delay_ms")
                     faults.delayMs = number(json, "delay_ms", MaxWaitMs);
                 else if (name == "append_delay_ms")
