--- a/tools/fleetmodel.h
+++ b/tools/fleetmodel.h
@@ -66,8 +66,8 @@
     std::vector<JobEnd> jobs; // in the order of Workload::jobs
     std::vector<Start> starts;
     std::vector<Refusal> refusals;
-    std::uint64_t messages = 0; // sent between agents
-    std::uint64_t wasted = 0;   // messages of exchanges that led to no successful start
+    std::uint64_t messages = 0;       // sent between agents
+    std::uint64_t wastedMessages = 0; // messages of exchanges that led to no successful start
 };
 
 // A virtual clock: runs scheduled actions in order of time, and jumps from one to the next. Actions
@@ -169,13 +169,13 @@
         , m_workload(std::move(workload))
         , m_result{std::vector<JobEnd>(m_workload.jobs.size()), {}, {}, 0, 0}
         , m_openTasks(m_workload.jobs.size())
-        , m_failed(m_workload.jobs.size())
+        , m_hasFailedTask(m_workload.jobs.size())
         , m_executors(options.workers)
     {
         for (std::size_t i = 0; i < options.workers; ++i)
             m_homes.push_back(makeHome(i));
         for (std::size_t i = 0; i < options.workers; ++i)
-            m_executors[i].free = options.slots;
+            m_executors[i].freeSlots = options.slots;
     }
 
     // Runs the workload until every job has ended; called once.
@@ -200,13 +200,13 @@
         std::vector<LoadReport> latestDigests; // newest digest of each agent
         std::vector<double> latestDigestTimes; // time of that digest; negative: there is none
         // Tasks that wait for a slot offer, with the index of the worker, by token.
-        std::map<std::size_t, std::pair<QueuedTask, std::size_t>> reserved;
+        std::map<std::size_t, std::pair<QueuedTask, std::size_t>> reservedTasks;
     };
 
     // The part of an agent that runs tasks on its worker.
     struct Executor
     {
-        std::uint32_t free = 0; // slots
+        std::uint32_t freeSlots = 0;
         ReservationQueue reservations;
         std::deque<std::size_t> queue; // tokens of tasks that wait; only with early binding
     };
@@ -249,7 +249,7 @@
         LoadReport digest;
         digest.agent = agentOf(i);
         digest.upstream = Upstream;
-        digest.freeSlots = it.free;
+        digest.freeSlots = it.freeSlots;
         digest.slots = m_options.slots;
         digest.queued = static_cast<std::uint32_t>(it.reservations.size() + it.queue.size());
         return digest;
@@ -397,16 +397,16 @@
     void rebind(std::size_t index)
     {
         Home &home = *m_homes[index];
-        while (home.admission.queuedTasks(Upstream) == 0 && !home.reserved.empty()) {
+        while (home.admission.queuedTasks(Upstream) == 0 && !home.reservedTasks.empty()) {
             const auto agent
                 = home.placement.chooseFree(Upstream, {}, toTimePoint(m_clock.now()), {});
             if (!agent)
                 return;
-            const TaskRef ref{JobKey{std::to_string(home.reserved.begin()->first)}, 0};
-            const auto [task, worker] = home.reserved.begin()->second;
-            home.reserved.erase(home.reserved.begin());
+            const TaskRef ref{JobKey{std::to_string(home.reservedTasks.begin()->first)}, 0};
+            const auto [task, worker] = home.reservedTasks.begin()->second;
+            home.reservedTasks.erase(home.reservedTasks.begin());
             home.placement.reservationEnded(agentOf(worker), flowOf(task));
-            m_result.wasted += 3; // start request, busy answer and withdrawal
+            m_result.wastedMessages += 3; // start request, busy answer and withdrawal
             send(index, worker,
                  [this, worker = worker, ref] { m_executors[worker].reservations.remove(ref); });
             start(index, agent->value - 1, task);
@@ -445,8 +445,8 @@
     void onStartTask(std::size_t home, std::size_t worker, const QueuedTask &task)
     {
         Executor &it = m_executors[worker];
-        if (it.free > 0) {
-            --it.free;
+        if (it.freeSlots > 0) {
+            --it.freeSlots;
             it.reservations.charge(task.jobClass, task.team, StartCharge, m_config);
             execute(worker, home, task.token);
         } else if (IsEarlyBinding<Policy>) {
@@ -463,7 +463,7 @@
     {
         Home &home = *m_homes[index];
         home.placement.reserved(agentOf(worker), flowOf(task));
-        home.reserved.emplace(task.token, std::pair(task, worker));
+        home.reservedTasks.emplace(task.token, std::pair(task, worker));
     }
 
     // Gives a free slot to the next queued task or offers it to the home of the best reservation.
@@ -480,7 +480,7 @@
             const std::size_t token = std::stoul(best->ref.key.value);
             send(worker, home, [this, home, worker, token] { onOffer(home, worker, token); });
         } else {
-            ++it.free;
+            ++it.freeSlots;
         }
     }
 
@@ -488,11 +488,11 @@
     void onOffer(std::size_t index, std::size_t worker, std::size_t token)
     {
         Home &home = *m_homes[index];
-        const auto held = home.reserved.find(token);
-        if (held == home.reserved.end() || held->second.second != worker) {
+        const auto held = home.reservedTasks.find(token);
+        if (held == home.reservedTasks.end() || held->second.second != worker) {
             // rebind() has started the task elsewhere. It has counted the withdrawal, so only the
             // offer and its decline count here.
-            m_result.wasted += 2;
+            m_result.wastedMessages += 2;
             send(index, worker, [this, worker] { onSlotFreed(worker); });
             return;
         }
@@ -500,7 +500,7 @@
         if (m_options.bindOldest) {
             // The oldest task of the flow takes the slot; the two tasks exchange reservations.
             auto oldest = held;
-            for (auto it = home.reserved.begin(); it != home.reserved.end(); ++it) {
+            for (auto it = home.reservedTasks.begin(); it != home.reservedTasks.end(); ++it) {
                 if (flowOf(it->second.first) == flow
                     && it->second.first.order < oldest->second.first.order)
                     oldest = it;
@@ -509,7 +509,7 @@
         }
         const std::size_t bound = held->second.first.token;
         home.placement.reservationEnded(agentOf(worker), flow);
-        home.reserved.erase(held);
+        home.reservedTasks.erase(held);
         send(index, worker, [this, index, worker, bound] { execute(worker, index, bound); });
     }
 
@@ -565,13 +565,13 @@
         if (m_options.health)
             home.placement.setWeight(agentOf(worker), home.health.weight(agentOf(worker), now));
         if (!succeeded && m_options.idempotent && home.budget.trySpend()) {
-            m_result.wasted += 2; // the failed start and its result
+            m_result.wastedMessages += 2; // the failed start and its result
             home.admission.push(queuedTask(m_workload, token), now);
             return;
         }
-        m_failed[jobIndex] = m_failed[jobIndex] || !succeeded;
+        m_hasFailedTask[jobIndex] = m_hasFailedTask[jobIndex] || !succeeded;
         if (--m_openTasks[jobIndex] == 0)
-            finish(jobIndex, m_failed[jobIndex] ? End::Failed : End::Completed);
+            finish(jobIndex, m_hasFailedTask[jobIndex] ? End::Failed : End::Completed);
     }
 
     // Slot time that a task is charged with at its start, as in TaskExecutor: the shortest usual
@@ -585,7 +585,7 @@
     RunResult m_result;
     Clock m_clock;
     std::vector<std::size_t> m_openTasks;       // tasks of each job without a result
-    std::vector<bool> m_failed;                 // for each job: a task of it has failed
+    std::vector<bool> m_hasFailedTask;          // for each job: a task of it has failed
     std::vector<Executor> m_executors;          // of each agent
     std::vector<std::unique_ptr<Home>> m_homes; // of each agent
     std::size_t m_openJobs = 0;                 // jobs that have not ended
@@ -601,7 +601,7 @@
         : m_options(options)
         , m_workload(std::move(workload))
         , m_admission(options.seed)
-        , m_free(options.workers, options.slots)
+        , m_freeSlots(options.workers, options.slots)
         , m_result{std::vector<JobEnd>(m_workload.jobs.size()), {}, {}, 0, 0}
         , m_openTasks(m_workload.jobs.size())
     {
@@ -629,12 +629,12 @@
     // Starts queued tasks as long as slots are free.
     void dispatch()
     {
-        for (std::size_t i = m_free.size(); i-- > 0;) { // fastest first
-            while (m_free[i] > 0) {
+        for (std::size_t i = m_freeSlots.size(); i-- > 0;) { // fastest first
+            while (m_freeSlots[i] > 0) {
                 const auto task = m_admission.pop(Upstream, toTimePoint(m_clock.now()));
                 if (!task)
                     return;
-                --m_free[i];
+                --m_freeSlots[i];
                 m_admission.taskStarted(task->team, task->jobClass, Upstream);
                 const double seconds = m_workload.tasks[task->token].work / m_workload.speeds[i];
                 m_clock.after(seconds,
@@ -646,7 +646,7 @@
     // A task has ended after `seconds`; frees its slot.
     void onTaskEnded(std::size_t worker, double seconds, const QueuedTask &task)
     {
-        ++m_free[worker];
+        ++m_freeSlots[worker];
         m_admission.taskEnded(task.team, task.jobClass, Upstream, toDuration(seconds));
         const std::size_t job = m_workload.tasks[task.token].job;
         if (--m_openTasks[job] == 0)
@@ -658,7 +658,7 @@
     Workload m_workload;
     Clock m_clock;
     Admission m_admission;
-    std::vector<std::uint32_t> m_free; // slots of each worker
+    std::vector<std::uint32_t> m_freeSlots; // of each worker
     RunResult m_result;
     std::vector<std::size_t> m_openTasks; // tasks of each job that have not ended
 };
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -55,12 +55,12 @@
     }
     const auto own = responses(workload, result, "");
     const auto ideal = responses(workload, central, "");
-    std::printf("  %5.2f %5.2f  %5.2f %6.3f %6.1f%%\n",
-                percentile(own, 0.5) / percentile(ideal, 0.5),
-                percentile(own, 0.99) / percentile(ideal, 0.99),
-                static_cast<double>(result.messages) / static_cast<double>(workload.tasks.size()),
-                static_cast<double>(result.wasted) / static_cast<double>(workload.tasks.size()),
-                100 * static_cast<double>(own.size()) / static_cast<double>(workload.jobs.size()));
+    std::printf(
+        "  %5.2f %5.2f  %5.2f %6.3f %6.1f%%\n", percentile(own, 0.5) / percentile(ideal, 0.5),
+        percentile(own, 0.99) / percentile(ideal, 0.99),
+        static_cast<double>(result.messages) / static_cast<double>(workload.tasks.size()),
+        static_cast<double>(result.wastedMessages) / static_cast<double>(workload.tasks.size()),
+        100 * static_cast<double>(own.size()) / static_cast<double>(workload.jobs.size()));
 }
 
 // Scenario "responses": p50 and p99 of the seconds from arrival to answer for each model, in all
--- a/tools/nodemodel.h
+++ b/tools/nodemodel.h
@@ -44,8 +44,9 @@
         // an offer are useful if a start followed from the offer.
         const auto excess
             = [](std::uint64_t n, std::uint64_t useful) { return n > useful ? n - useful : 0; };
-        m_result.wasted += excess(m_startTasks, m_accepted + m_offerReplies)
-                           + excess(m_busy, m_offerReplies) + excess(m_offers, m_offerReplies);
+        m_result.wastedMessages += excess(m_startTasks, m_accepted + m_offerReplies)
+                                   + excess(m_busy, m_offerReplies)
+                                   + excess(m_offers, m_offerReplies);
         return std::move(m_result);
     }
 
@@ -188,7 +189,7 @@
                    || std::holds_alternative<TaskRefused>(message)
                    || std::holds_alternative<CancelTask>(message)
                    || std::holds_alternative<TaskNotStarted>(message)) {
-            ++m_result.wasted;
+            ++m_result.wastedMessages;
         }
     }
 
