--- a/tools/logstandinserver.h
+++ b/tools/logstandinserver.h
@@ -124,7 +124,8 @@
         m_readers.push_back({id, stream, parameter(request, "from", 0),
                              parameter(request, "limit", MaxRecordsPerReply),
                              m_loop.now() + std::chrono::milliseconds(wait)});
-        at(m_readers.back().until, [] {}); // runDueTasks() also answers reads whose time is over
+        // An empty task, because runDueTasks() also answers reads whose time is over.
+        schedule(m_readers.back().until, [] {});
         answerReaders();
     }
 
@@ -132,8 +133,8 @@
     {
         if (m_faults.appendDelayMs == 0)
             return finishAppend(id, stream, body);
-        at(m_loop.now() + std::chrono::milliseconds(m_faults.appendDelayMs),
-           [=, this] { finishAppend(id, stream, body); });
+        schedule(m_loop.now() + std::chrono::milliseconds(m_faults.appendDelayMs),
+                 [=, this] { finishAppend(id, stream, body); });
     }
 
     void finishAppend(RequestId id, const std::string &stream, const std::string &body)
@@ -252,8 +253,8 @@
         HttpResponse response{status, writeJson(json)};
         if (m_faults.delayMs == 0)
             return m_server->respond(id, std::move(response));
-        at(m_loop.now() + std::chrono::milliseconds(m_faults.delayMs),
-           [this, id, response] { m_server->respond(id, response); });
+        schedule(m_loop.now() + std::chrono::milliseconds(m_faults.delayMs),
+                 [this, id, response] { m_server->respond(id, response); });
     }
 
     // The request has ended, for example because its client is gone.
@@ -263,7 +264,7 @@
     }
 
     // Runs the task at the given time.
-    void at(TimePoint due, std::function<void()> task)
+    void schedule(TimePoint due, std::function<void()> task)
     {
         m_tasks.emplace(due, std::move(task));
         m_timer.startAt(m_tasks.begin()->first);
@@ -305,7 +306,7 @@
 
     EventLoop &m_loop;
     Timer m_timer;
-    std::multimap<TimePoint, std::function<void()>> m_tasks; // set by at(), by time
+    std::multimap<TimePoint, std::function<void()>> m_tasks; // set by schedule(), by time
     LogFaults m_faults;
     std::map<std::string, Stream> m_streams;
     std::vector<Reader> m_readers;
--- a/tools/upstreamstandin.cpp
+++ b/tools/upstreamstandin.cpp
@@ -53,6 +53,7 @@
     bool closeReused = false;     // the same, but not for the first request of a connection
 };
 
+// The value as one line of JSON.
 std::string write(const Json::Value &value)
 {
     Json::StreamWriterBuilder builder;
@@ -72,6 +73,7 @@
     return value;
 }
 
+// A number of milliseconds as a duration; 0 if the value is not an integer.
 Duration milliseconds(const Json::Value &value)
 {
     return std::chrono::milliseconds(value.isInt64() ? value.asInt64() : 0);
@@ -125,9 +127,9 @@
 private:
     struct Task
     {
-        RequestId request;          // answered at the end of the task
-        std::unique_ptr<Timer> end; // fires when the run time or the lease is over
-        bool isDropped = false;     // the connection was closed by a fault, so there is no answer
+        RequestId request;            // answered at the end of the task
+        std::unique_ptr<Timer> timer; // fires when the run time or the lease is over
+        bool isDropped = false;       // the connection was closed by a fault, so there is no answer
     };
     using TaskKey = std::pair<std::string, std::string>; // job and task
 
@@ -221,7 +223,7 @@
         const std::uint64_t number = ++m_lastTask;
         Task &task = m_tasks[{key, number}];
         task.request = id;
-        task.end = std::make_unique<Timer>(m_loop, [=, this] {
+        task.timer = std::make_unique<Timer>(m_loop, [=, this] {
             if (lapses)
                 finish(key, number, 500, "lease lapsed");
             else if (fails)
@@ -229,7 +231,7 @@
             else
                 finish(key, number, 200, write(answer));
         });
-        task.end->startIn(std::min(runTime, lease));
+        task.timer->startIn(std::min(runTime, lease));
         if (m_faults.closeAfterStart || (m_faults.closeReused && !request.isFirstOnConnection)) {
             task.isDropped = true;
             m_server->closeWithoutResponse(id);
@@ -256,7 +258,7 @@
         if (!node.mapped().isDropped)
             m_server->respond(node.mapped().request, {status, body});
         // This may be the callback of the run's own timer, which must not be destroyed inside it.
-        m_loop.post([timer = std::shared_ptr<Timer>(std::move(node.mapped().end))] {});
+        m_loop.post([timer = std::shared_ptr<Timer>(std::move(node.mapped().timer))] {});
         stopIfIdle();
     }
 
