--- a/src/dispatchtypes.h
+++ b/src/dispatchtypes.h
@@ -14,8 +14,9 @@
 
 namespace cactuscove {
 
-// A process has an input at least with each heartbeat of another instance. A longer time without
-// one means that the process was suspended.
+// Heartbeats between entries and agents arrive more often than this. After a longer time without an
+// input a process assumes that it was suspended, and ends what has expired before it handles the
+// next input.
 inline constexpr Duration SuspensionGap = std::chrono::milliseconds(300);
 
 // One route of the operators' configuration: which requests belong to it and how their jobs are
@@ -23,15 +24,22 @@
 struct QueueSettings
 {
     std::string name;
-    std::string host;       // host of the requests, in lower case
-    std::string pathPrefix; // path of the requests up to the job's id
+    std::string host; // of the requests, without a port; upper and lower case are the same
+    // Path of the requests up to the job's id. Compared as text: it need not end at a "/".
+    std::string pathPrefix;
     std::string upstream;
-    int priority = 0;    // 0 is the most urgent
-    int maxAttempts = 1; // failed attempts of one task after which its job has failed
-    // The objective of a job's answer time is slackFactor * expected run time + targetLatency.
+    int priority = 0; // 0 is the most urgent
+    // The job fails when one of its tasks has ended this often as TaskEnd::Failed. Other ends and
+    // refusals do not count. Less than 1 counts as 1.
+    int maxAttempts = 1;
+    // A job should be answered within slackFactor * expected run time + targetLatency of its
+    // arrival. The expected run time is that of the whole job if all of its tasks run at once,
+    // estimated from measured and declared run times (runtimemodel.h).
     double slackFactor = 1;
     Duration targetLatency{};
-    Duration timeout{}; // 0: none
+    // How long a caller waits for the answer, from the arrival of its job, if its request does not
+    // say so. 0: 30 s.
+    Duration timeout{};
 
     bool operator==(const QueueSettings &) const = default;
 };
@@ -44,13 +52,14 @@
     std::size_t maxBodyBytes = 0; // limit for a caller's request; 0: no limit
 };
 
-// A job as its caller submits it. Nothing of it is stored; its answer is its only record.
+// A job as its caller submits it. Nothing of it is stored: if the caller does not receive the
+// answer, no other record shows how the job ended.
 struct BestEffortJob
 {
     std::string id;
     std::string queue;   // name of its queue
     std::string payload; // passed to the upstream unchanged
-    Resources needs;     // of each task
+    Resources needs;     // of each task, in the units of Resources
     std::uint32_t taskCount = 0;
     // Run time of one task as the caller estimates it; 0: not declared.
     Duration declaredRunTime{};
@@ -69,7 +78,7 @@
 };
 
 // Finds the queue of a request. `host` may end in a port. The result points into `config` and
-// `path`.
+// `path`, so it must not be used after either has changed.
 QueueMatch matchQueue(const DispatchConfig &config, std::string_view host, std::string_view path);
 
 // A task of a job, by its index from 0.
@@ -83,38 +92,45 @@
 // How a started task ended.
 enum class TaskEnd {
     Done,
-    Failed,  // by a fault of the task or of its worker
-    Stopped, // stopped by its agent: on request, at its deadline, or as its entry was silent
-    Lost,    // its lease expired, or its worker left or restarted
+    Failed, // by a fault of the task or of its worker
+    // Stopped by its agent: on request, at its deadline, because no message from its entry arrived
+    // for too long, or because it was unclear whether it had started.
+    Stopped,
+    // The lease that the agent renews at the worker expired, or the worker left, restarted or no
+    // longer lists the task.
+    Lost,
 };
 
-// Why an attempt of a task was not started. Each of these reasons ensures that this attempt never
-// will be.
+// Why an attempt of a task was not started. After any of these refusals it will not be started
+// later either.
 enum class StartRefusal {
     Expired,    // its deadline for starting has passed
     Draining,   // its worker is leaving
-    NoWorker,   // its worker is gone
+    NoWorker,   // its worker is gone, or its agent shuts down
     OldAttempt, // the worker has ended or stopped this or a later attempt
     Unhealthy,  // the worker refuses starts
-    Withdrawn,  // its entry withdrew it, or was silent, before the start
-    Duplicate,  // another attempt of the same task may still run at this agent
+    // Before the start its entry withdrew or replaced it, or sent nothing for too long; or it was
+    // stopped before its start was confirmed, and the worker does not list it.
+    Withdrawn,
+    Duplicate, // another attempt of the same task may still run at this agent
 };
 
+// For logs and metrics, for example "old_attempt".
 std::string_view nameOf(TaskEnd end);
 std::string_view nameOf(StartRefusal refusal);
 
 // A worker, as it describes itself in its heartbeats.
 struct WorkerInfo
 {
-    std::string id; // id of one process of the worker
+    std::string id; // of the instance; may stay the same when its process restarts
     std::string upstream;
     std::string address; // "ip:port"
     std::string dataCentre;
-    Resources capacity;
+    Resources capacity; // in total, whatever is in use
     std::vector<std::string> labels;
     bool isDraining = false;
-    // Unix time of the start of the worker process; distinguishes processes with the same id. 0:
-    // not reported.
+    // Unix time of the start of the worker process; shows a restart under the same id. 0: not
+    // reported.
     std::int64_t startedAtUnixMs = 0;
     std::uint64_t sequence = 0; // increases with each heartbeat of a process
 
--- a/src/framedlink.h
+++ b/src/framedlink.h
@@ -1,5 +1,6 @@
 // TCP connections between entries and agents, and among entries, that carry frames of messages
-// (dispatchcodec.h). Messages that are sent in one iteration of the event loop go into one frame.
+// (dispatchcodec.h). All messages that are queued when flush() is called go into one frame; the
+// event loop calls it in its next iteration after a send().
 
 #pragma once
 
@@ -15,27 +16,29 @@
 
 namespace cactuscove {
 
-// Why a connection could not be begun or an address not be listened on.
+// Why FramedLink::dial() or FramedListener::listen() failed.
 struct LinkError
 {
     std::string reason;
 };
 
 // One connection. Its owner destroys the object to close the connection; messages that are not sent
-// by then are lost.
+// by then are lost, and no handler is called any more.
 class FramedLink
 {
 public:
-    // All handlers are called by the event loop, never from inside a function of FramedLink.
+    // All handlers are called by the event loop, never from inside a function of FramedLink. Each
+    // may destroy the link. onOpen and onMessages must not use their captures after that, because
+    // these are destroyed with it.
     struct Handlers
     {
         // A dialled connection is established; not called for an adopted one. May be empty.
         std::function<void()> onOpen;
-        // One frame has arrived.
+        // One frame has arrived. Must be set.
         std::function<void(std::vector<PeerMessage> messages)> onMessages;
-        // The connection could not be established, or was closed by the peer, an error, an invalid
-        // frame or a peer that does not read. Called once, after all other handlers. It may
-        // destroy the link.
+        // The connection could not be established, was closed by the peer, failed, received an
+        // invalid frame, or has more than 4 MiB that the peer does not read. Called once; no
+        // handler is called after it. Must be set.
         std::function<void(std::string_view reason)> onClosed;
     };
 
@@ -44,7 +47,8 @@
     // limit: the owner destroys the link if it waits no longer.
     static Result<std::unique_ptr<FramedLink>, LinkError>
     dial(EventLoop &loop, std::string_view address, Handlers handlers);
-    // Takes over an accepted, non-blocking socket, such as one from FramedListener.
+    // Takes over an accepted, non-blocking socket, such as one from FramedListener. The link is
+    // open at once.
     static std::unique_ptr<FramedLink> adopt(EventLoop &loop, int fd, Handlers handlers);
     ~FramedLink();
     FramedLink(const FramedLink &) = delete;
@@ -53,11 +57,13 @@
     // Queues a message, also before the connection is established. It is sent by flush() or by the
     // event loop in its next iteration. Messages on a failed connection are discarded.
     void send(PeerMessage message);
-    // Encodes the queued messages and writes as much as the socket takes; the rest follows later.
+    // Encodes the queued messages and writes as much as the socket takes. The rest follows later,
+    // as does everything that is flushed before the connection is established.
     void flush();
 
     bool isOpen() const; // established and not failed
-    // When queued messages were last encoded by flush(), by EventLoop::now().
+    // When flush() last encoded messages, by EventLoop::now(); TimePoint{} before the first time.
+    // The socket may have taken them later.
     TimePoint sentAt() const;
 
 private:
@@ -71,8 +77,8 @@
 {
 public:
     // Listens on `address`, which is an IPv4 "ip:port"; port 0 picks a free one. Calls `onAccepted`
-    // from the event loop with the socket of each connection, which it must close or pass to
-    // FramedLink::adopt(). Fails if the address is malformed or in use.
+    // from the event loop with the socket of each connection; `onAccepted` must close it or pass it
+    // to FramedLink::adopt(). Fails if the address is malformed or cannot be listened on.
     static Result<std::unique_ptr<FramedListener>, LinkError>
     listen(EventLoop &loop, std::string_view address, std::function<void(int fd)> onAccepted);
     ~FramedListener();
--- a/src/httpserver.h
+++ b/src/httpserver.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 server on the event loop, based on libmicrohttpd. A request may be answered at any time
-// after its handler has returned.
+// HTTP/1.1 server on the event loop, based on libmicrohttpd. A request may be answered by its
+// handler or at any later time.
 
 #pragma once
 
@@ -20,11 +20,13 @@
 struct HttpRequest
 {
     std::string method;
-    std::string path; // without the query
-    std::map<std::string, std::string> query;
-    std::map<std::string, std::string> headers; // names in lower case
+    std::string path; // percent-decoded, without the query
+    // Of repeated names in the query or headers, the last one counts.
+    std::map<std::string, std::string> query;   // percent-decoded, "+" as a space
+    std::map<std::string, std::string> headers; // names in lower case; values as received
     std::string body;
-    bool isFirstOnConnection = true; // for tests of clients that reuse a connection
+    // False for a later request on a connection that the client reuses. Only tests use it.
+    bool isFirstOnConnection = true;
 };
 
 struct HttpResponse
@@ -40,9 +42,10 @@
     std::size_t maxBodyBytes = 4 << 20; // a larger body gets 413
     // A connection without traffic for this long is closed, unless its request waits for respond().
     std::chrono::seconds idleTimeout{15};
-    unsigned maxConnections = 4096;
-    // Ends a request as soon as its client closes the connection. Otherwise that is noticed only
-    // when the response is written.
+    unsigned maxConnections = 4096; // further ones wait in the kernel until one is closed
+    // A request that waits for respond() ends, and onClosed is called, as soon as its client closes
+    // the connection. If this is false, or the client has sent more data such as a pipelined
+    // request, the close is noticed only when the response is written.
     bool detectClientClose = false;
 };
 
@@ -62,7 +65,7 @@
     // Listens on `address`, which is an IPv4 "ip:port"; port 0 picks a free one. Fails if the
     // address is malformed or cannot be listened on. `handler` is called with each complete request
     // and may call respond() at once or later. `onClosed` is called when such a request has ended,
-    // answered or not; it may be empty.
+    // answered or not, but never from inside a function of HttpServer; it may be empty.
     static Result<std::unique_ptr<HttpServer>, HttpServerError>
     listen(EventLoop &loop, std::string_view address, HttpServerLimits limits, Handler handler,
            ClosedHandler onClosed = {});
@@ -70,13 +73,16 @@
 
     // Sends the response of a request. Does nothing if the request has ended or was answered.
     void respond(RequestId id, HttpResponse response);
-    // Closes the connection of a request without a response. Test servers use it to lose replies.
+    // Closes the connection of a request without a response; onClosed follows. Test servers use it
+    // to lose replies.
     void closeWithoutResponse(RequestId id);
-    // Closes the listening socket. Open connections are still served.
+    // Closes the listening socket. Open connections are still served, also idle ones on which a new
+    // request arrives.
     void stopAccepting();
 
-    std::string address() const;      // "ip:port" with the port in use
-    std::size_t openRequests() const; // begun to arrive and not fully answered
+    std::string address() const; // "ip:port" with the port in use
+    // Requests whose headers have arrived and whose response is not completely sent.
+    std::size_t openRequests() const;
 
 private:
     class Impl;
--- a/src/types.h
+++ b/src/types.h
@@ -14,7 +14,7 @@
 
 namespace cactuscove {
 
-// Time as the decision code sees it: it receives the current time as an argument and never reads a
+// Time in the decision code. That code gets the current time as an argument and never reads a
 // clock, so that tests can run it in virtual time.
 using Duration = std::chrono::microseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -57,6 +57,8 @@
     auto operator<=>(const JobKey &) const = default;
 };
 
+// The hash is the 128-bit XXH3 and the shard its low half modulo ShardCount. Processes exchange
+// both in messages, so all of them, of any version, must compute the same values.
 KeyHash hashOf(const JobKey &key);
 ShardId shardOf(const JobKey &key);
 ShardId shardOf(const KeyHash &hash);
@@ -69,11 +71,12 @@
     bool operator==(const TraceContext &) const = default;
 };
 
-// What one task requires of an upstream, or the most that one task may require there.
+// What one task requires of an upstream, or the most that one task may require there. Best-effort
+// dispatch uses Resources (resources.h), which also has processor cores.
 struct TaskResources
 {
-    std::uint32_t accelerators = 0;
-    std::uint32_t memoryMb = 0;
+    std::uint32_t accelerators = 0; // whole devices
+    std::uint32_t memoryMb = 0;     // only compared, so callers and upstreams choose MB or MiB
     bool operator==(const TaskResources &) const = default;
 };
 
@@ -92,10 +95,10 @@
 {
     JobKey key;
     std::string team;
-    std::string jobClass;
+    std::string jobClass;          // name in the configuration; slots are shared among classes
     std::string upstream;          // name in the configuration
-    Duration deadline{};           // from the submission by the caller
-    bool idempotent = false;       // tasks may be retried and hedged
+    Duration deadline{};           // time allowed, counted from the submission by the caller
+    bool idempotent = false;       // tasks may be retried, and a slow one started a second time
     std::uint64_t contentHash = 0; // of the whole job; tells apart two jobs under the same key
     std::vector<TaskSpec> tasks;   // at most MaxTasksPerJob
     bool operator==(const JobSpec &) const = default;
@@ -103,10 +106,12 @@
 
 // How one attempt of a task ended.
 enum class TaskStatus {
-    Completed,  // the upstream answered with 2xx or 4xx
-    Failed,     // it started, then the upstream answered with 5xx or the connection broke
-    NotStarted, // it is proved that it did not start; a tombstone keeps it from starting later
-    Unknown,    // it may have started
+    Completed, // the upstream answered with 2xx or 4xx
+    Failed,    // it started, then the upstream answered with 3xx or 5xx or the connection broke
+    // It provably did not start, also if the upstream says so in a 409 or 503. A tombstone at
+    // the agent (startmemory.h) keeps the attempt from starting later.
+    NotStarted,
+    Unknown, // it may have started
 };
 
 std::string_view nameOf(TaskStatus status); // for logs and metrics, for example "not_started"
@@ -116,14 +121,14 @@
     TaskStatus status = TaskStatus::Unknown;
     int httpStatus = 0; // from the upstream; 0 if it gave no answer
     std::string body;   // of the upstream's answer
-    Duration runTime{};
+    Duration runTime{}; // measured by the agent, from the request to the upstream to its answer
     bool operator==(const TaskResult &) const = default;
 };
 
 // What a caller learns of its job.
 enum class Outcome {
     Completed, // every task has a result
-    NotRun,    // no task has started, with proof, and none will unless the job is submitted again
+    NotRun,    // provably no task has started, and none will unless the job is submitted again
     Unknown    // neither can be proved
 };
 
@@ -143,15 +148,16 @@
 struct Answer
 {
     Outcome outcome = Outcome::Unknown;
-    std::string reason;                 // empty for Completed, else for example "deadline"
-    std::optional<Duration> retryAfter; // from the answer on; empty if submitting again cannot help
-    std::vector<TaskAnswer> tasks;      // in the order of JobSpec::tasks
+    std::string reason; // empty for Completed, else for example "deadline"
+    // How long to wait, after this answer, before submitting again; empty if that cannot help.
+    std::optional<Duration> retryAfter;
+    std::vector<TaskAnswer> tasks; // in the order of JobSpec::tasks
     bool operator==(const Answer &) const = default;
 };
 
 enum class Role {
     Entry, // takes the requests of callers and forwards each job to its home
-    Agent  // the home of some shards, and the executor of tasks for the upstream beside it
+    Agent  // the home of some shards; runs tasks on the upstream instance announced to it
 };
 
 // What a process states about itself in its `register` record.
@@ -161,24 +167,26 @@
     Role role = Role::Agent;
     std::string address; // "ip:port" of its HTTP listener
     std::string dataCentre;
-    std::string rack;
-    std::string office;
+    std::string rack;   // may be empty
+    std::string office; // where the process runs; may be empty
     bool operator==(const Member &) const = default;
 };
 
-// The load of one agent as the agent itself measured it. Every envelope carries the latest ones
-// that its sender knows. A slot is room for one running task.
+// The load of one agent as the agent itself measured it. Every envelope carries the newest report
+// that its sender knows of each agent, or of some agents in turn if there are too many. A slot is
+// room for one running task.
 struct LoadReport
 {
     Incarnation agent;
-    std::string upstream;             // name of the upstream beside the agent; empty without one
-    std::uint32_t freeSlots = 0;      // of `slots`
-    std::uint32_t slots = 0;          // tasks that its upstream runs at a time
-    std::uint32_t queued = 0;         // reservations that wait for a slot or have been offered one
-    TaskResources capacity;           // the most that a single task may require here
-    bool draining = false;            // the agent refuses new tasks
-    Duration age{};                   // from the measurement to the sending
-    std::uint32_t failurePercent = 0; // of the newest results of its upstream
+    std::string upstream;        // name of the agent's upstream; empty without one
+    std::uint32_t freeSlots = 0; // of `slots`
+    std::uint32_t slots = 0;     // tasks that its upstream runs at a time
+    std::uint32_t queued = 0;    // tasks waiting for a slot, or offered one and not started
+    TaskResources capacity;      // the most that a single task may require here
+    bool draining = false;       // the agent refuses new tasks
+    Duration age{};              // time since the measurement when the report is sent
+    // Of the results of its upstream, exponentially weighted: the newest one weighs 20%.
+    std::uint32_t failurePercent = 0;
     bool operator==(const LoadReport &) const = default;
 };
 
--- a/src/upstreamregistry.h
+++ b/src/upstreamregistry.h
@@ -1,4 +1,4 @@
-// The upstream instance beside an agent, as it last announced itself.
+// The upstream instance on which an agent runs tasks, as it last announced itself.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 struct UpstreamAnnouncement
 {
     std::string upstream;          // name in the configuration file
-    std::string incarnation;       // of the process of the upstream, chosen by the upstream
+    std::string incarnation;       // one run of the instance, named by itself; not an Incarnation
     std::string address;           // "ip:port"
     std::uint32_t slots = 0;       // tasks that it runs at the same time
     std::uint32_t connections = 0; // connections that it accepts at the same time
@@ -23,23 +23,27 @@
     Duration lease{}; // the announcement expires unless it is repeated within this time
 };
 
-// Holds at most one upstream. The agent node calls it for every announcement and leave that the
-// agent process receives, and passes each change on to the task executor.
+// Holds at most one upstream instance. The agent node calls it whenever the instance announces
+// itself or says that it leaves, and passes each change on to the task executor. A running task
+// that is lost ends as TaskStatus::Unknown.
 class UpstreamRegistry
 {
 public:
     enum class Change {
-        None,        // the same upstream as before; its slots may have changed
-        Appeared,    // there was none before
-        Replaced,    // another incarnation, address or name; running tasks are lost
+        None,     // ignored, or the lease was renewed; the slots may have changed
+        Appeared, // there was none before
+        // Another incarnation, address or name. Running tasks are lost only with their incarnation.
+        Replaced,
         Left,        // the upstream takes no new tasks but finishes the running ones
         LeaseExpired // no announcement came within the lease; running tasks are lost
     };
 
     // Commands
-    // Ignored if the incarnation has left or was replaced before.
+    // Takes over the announcement, unless its incarnation has left or was replaced before. An
+    // incarnation whose lease expired may return.
     Change announce(const UpstreamAnnouncement &announcement, TimePoint now);
-    // An empty `incarnation` means the current one; any other incarnation is ignored.
+    // The upstream leaves: current() is empty from now on. An empty `incarnation` means the current
+    // one; a call for any other incarnation is ignored.
     Change leave(std::string_view incarnation = {});
     // Removes the upstream if its lease has expired. To be called at nextTimer().
     Change onTimer(TimePoint now);
@@ -54,7 +58,8 @@
 
     std::optional<UpstreamAnnouncement> m_current;
     TimePoint m_leaseEnd = NeverTime;
-    // Incarnations that left or were replaced. A late repeat of their announcement is ignored.
+    // The newest 16 incarnations that left or were replaced. A late repeat of their announcement is
+    // ignored.
     std::deque<std::string> m_pastIncarnations;
 };
 
