--- a/src/agenthandover.cpp
+++ b/src/agenthandover.cpp
@@ -34,7 +34,7 @@
     Witness own{m_self, raise.claims, {}};
     for (const ShardClaim &claim : raise.claims) {
         for (auto &&jobs : {m_executor.witnessed(claim.shard, claim.epoch),
-                            m_jobs.witnessed(claim.shard, claim.epoch, now)})
+                            m_jobs.witnessedJobs(claim.shard, claim.epoch, now)})
             own.jobs.insert(own.jobs.end(), jobs.begin(), jobs.end());
     }
     out.send(from, std::move(own));
--- a/src/dispatchagent.cpp
+++ b/src/dispatchagent.cpp
@@ -213,7 +213,7 @@
         it.link.reset();
         it.releasingSince = NeverTime;
         it.dialledAt = it.lastMessageAt = bootNow();
-        m_selection.dialled(address, it.dialledAt);
+        m_selection.onDialled(address, it.dialledAt);
         auto link = FramedLink::dial(
             m_loop, address,
             {[this, &it] {
@@ -244,7 +244,7 @@
         it.entry.reset();
         it.link.reset();
         it.releasingSince = NeverTime;
-        m_selection.closed(address, bootNow());
+        m_selection.onClosed(address, bootNow());
         connectEntries();
     }
 
@@ -285,7 +285,7 @@
         it.lastMessageAt = bootNow();
         m_decisions.handleInput([&](TaskRunner &runner, TimePoint now, RunnerOutbox &out) {
             if (it.entry)
-                runner.onEntryHeard(it.entry->instance, now, out);
+                runner.onEntryActivity(it.entry->instance, now, out);
             for (const PeerMessage &message : messages)
                 onMessage(address, it, message, now, out);
         });
@@ -318,7 +318,7 @@
         if (hello.role != Role::Entry)
             return;
         it.entry = hello;
-        m_selection.opened(address);
+        m_selection.onOpened(address);
         log({Severity::Info,
              "entry_connected",
              {{"entry", hello.name}, {"incarnation", std::to_string(hello.instance.value)}}});
--- a/src/dispatchentry.cpp
+++ b/src/dispatchentry.cpp
@@ -331,11 +331,11 @@
     void dialEntry(const std::string &address)
     {
         const TimePoint now = bootNow();
-        m_selection.dialled(address, now);
+        m_selection.onDialled(address, now);
         const LinkId id = ++m_lastLink;
         auto link = FramedLink::dial(m_loop, address, makeHandlers(id));
         if (!isOk(link))
-            return m_selection.closed(address, now);
+            return m_selection.onClosed(address, now);
         Link &it = m_links[id];
         it.lastMessageAt = now;
         it.dialled = address;
@@ -350,7 +350,7 @@
         const std::optional<PeerHello> peer = it->second.peer;
         const TimePoint lastMessageAt = it->second.lastMessageAt;
         if (!it->second.dialled.empty())
-            m_selection.closed(it->second.dialled, bootNow());
+            m_selection.onClosed(it->second.dialled, bootNow());
         m_links.erase(it);
         if (!peer)
             return;
@@ -399,7 +399,7 @@
              {{"name", hello.name}, {"incarnation", std::to_string(hello.instance.value)}}});
         if (hello.role == Role::Entry) {
             if (!it.dialled.empty())
-                m_selection.opened(it.dialled);
+                m_selection.onOpened(it.dialled);
             return onEntryStarted({hello.address, hello.instance});
         }
         const auto [agent, isNew] = m_agentLinks.try_emplace(hello.instance, id);
--- a/src/entryselection.cpp
+++ b/src/entryselection.cpp
@@ -56,7 +56,7 @@
     return m_entries.try_emplace(rankOf(address)).second;
 }
 
-void EntrySelection::dialled(std::string_view address, TimePoint now)
+void EntrySelection::onDialled(std::string_view address, TimePoint now)
 {
     if (Entry *it = find(address)) {
         it->state = State::Dialling;
@@ -64,7 +64,7 @@
     }
 }
 
-void EntrySelection::opened(std::string_view address)
+void EntrySelection::onOpened(std::string_view address)
 {
     if (Entry *it = find(address)) {
         it->state = State::Open;
@@ -73,7 +73,7 @@
 }
 
 // After an open connection the entry is dialled at once: only this connection may have been lost.
-void EntrySelection::closed(std::string_view address, TimePoint now)
+void EntrySelection::onClosed(std::string_view address, TimePoint now)
 {
     Entry *it = find(address);
     if (!it)
--- a/src/entryselection.h
+++ b/src/entryselection.h
@@ -36,12 +36,12 @@
     void setConnectionCount(std::size_t connectionCount) { m_connectionCount = connectionCount; }
     // Makes an entry known; false if it is known already.
     bool add(std::string_view address);
-    // A connection was dialled; opened() or closed() follows.
-    void dialled(std::string_view address, TimePoint now);
+    // A connection was dialled; onOpened() or onClosed() follows.
+    void onDialled(std::string_view address, TimePoint now);
     // The connection is in use: the entry has sent its hello.
-    void opened(std::string_view address);
+    void onOpened(std::string_view address);
     // The connection has ended, or could not be opened.
-    void closed(std::string_view address, TimePoint now);
+    void onClosed(std::string_view address, TimePoint now);
     // Another process has a connection to the entry: if it is wanted it is dialled at once,
     // whatever its redial delay.
     void reportedAlive(std::string_view address, TimePoint now);
--- a/src/jobhome.h
+++ b/src/jobhome.h
@@ -69,7 +69,7 @@
     bool hasJobsInProgress(ShardId shard) const override;
     std::vector<TransferredJob> answeredJobs(ShardId shard, TimePoint now) const override;
     // The jobs of a shard that this home accepted at epochs below `below`, for a Witness message.
-    std::vector<WitnessedJob> witnessed(ShardId shard, Epoch below, TimePoint now) const;
+    std::vector<WitnessedJob> witnessedJobs(ShardId shard, Epoch below, TimePoint now) const;
     // Every job that this home knows, for the heir of a process that leaves.
     std::vector<AdoptedJob> rememberedJobs(TimePoint now) const;
 
--- a/src/jobhomememory.cpp
+++ b/src/jobhomememory.cpp
@@ -64,7 +64,7 @@
     return seen;
 }
 
-std::vector<WitnessedJob> JobHome::witnessed(ShardId shard, Epoch below, TimePoint now) const
+std::vector<WitnessedJob> JobHome::witnessedJobs(ShardId shard, Epoch below, TimePoint now) const
 {
     std::vector<WitnessedJob> result;
     for (const auto &[key, job] : m_jobs) {
--- a/src/taskrunner.cpp
+++ b/src/taskrunner.cpp
@@ -207,7 +207,7 @@
     it.lastAssignment = 0;
 }
 
-void TaskRunner::onEntryHeard(Incarnation entry, TimePoint now, RunnerOutbox &out)
+void TaskRunner::onEntryActivity(Incarnation entry, TimePoint now, RunnerOutbox &out)
 {
     expireAfterSuspension(now, out);
     const auto it = m_entries.find(entry);
--- a/src/taskrunner.h
+++ b/src/taskrunner.h
@@ -185,7 +185,7 @@
     // entry.
     void onEntryHello(Incarnation entry, std::string_view name, TimePoint now, RunnerOutbox &out);
     // To be called for each message of the entry, whatever its type.
-    void onEntryHeard(Incarnation entry, TimePoint now, RunnerOutbox &out);
+    void onEntryActivity(Incarnation entry, TimePoint now, RunnerOutbox &out);
     // Queues the task, or refuses it with a reason. Ignored before the hello of the entry.
     void onAssign(Incarnation entry, AssignTask assignment, TimePoint now, RunnerOutbox &out);
     // Refuses the task if it is still queued, else stops its run. Ignored for an unknown attempt.
--- a/tests/dispatchfleet.cpp
+++ b/tests/dispatchfleet.cpp
@@ -368,7 +368,7 @@
                     if (links[entry][a].generation != generation)
                         return;
                     links[entry][a].agentHeardAt = now;
-                    runner.onEntryHeard(from, now, out);
+                    runner.onEntryActivity(from, now, out);
                     if (const auto *assign = std::get_if<AssignTask>(&message))
                         runner.onAssign(from, *assign, now, out);
                     else if (const auto *withdraw = std::get_if<WithdrawTask>(&message))
@@ -405,7 +405,7 @@
         Link &link = links[e][a];
         link.isUp = true;
         link.leavingSince = NeverTime;
-        agents[a].selection->opened(addressOf(e));
+        agents[a].selection->onOpened(addressOf(e));
         ++link.generation;
         link.agentHeardAt = link.entryHeardAt = now;
         const PeerHello hello{"agent" + std::to_string(a), agentId(a), Role::Agent, "", ""};
@@ -429,7 +429,7 @@
         if (!link.isUp)
             return;
         link.isUp = false;
-        agents[a].selection->closed(addressOf(e), now);
+        agents[a].selection->onClosed(addressOf(e), now);
         ++link.generation;
         const Incarnation agent = agentId(a);
         stepEntry(e, [this, agent](JobDispatcher &dispatcher, DispatcherOutbox &out) {
@@ -454,11 +454,11 @@
         const EntrySelection::Plan plan = agent.selection->plan(now);
         for (const std::string &address : plan.dial) {
             const std::size_t e = entryAt(address);
-            agent.selection->dialled(address, now);
+            agent.selection->onDialled(address, now);
             if (entries[e].isUp && entries[e].frozenUntil <= now && !links[e][a].isCut)
                 connect(e, a);
             else
-                agent.selection->closed(address, now);
+                agent.selection->onClosed(address, now);
         }
         for (std::size_t e = 0; e < entries.size(); ++e) {
             Link &link = links[e][a];
@@ -1038,7 +1038,7 @@
     Impl &it = *m_impl;
     for (std::size_t a = 0; a < it.agents.size(); ++a) {
         if (it.links[i][a].isUp)
-            it.agents[a].selection->closed(Impl::addressOf(i), it.now);
+            it.agents[a].selection->onClosed(Impl::addressOf(i), it.now);
         it.links[i][a].isUp = false;
         ++it.links[i][a].generation;
     }
--- a/tests/entryselection_test.cpp
+++ b/tests/entryselection_test.cpp
@@ -38,11 +38,11 @@
 {
     std::vector<std::string> dialled = selection.plan(now).dial;
     for (const std::string &it : dialled) {
-        selection.dialled(it, now);
+        selection.onDialled(it, now);
         if (down.count(it))
-            selection.closed(it, now);
+            selection.onClosed(it, now);
         else
-            selection.opened(it);
+            selection.onOpened(it);
     }
     return dialled;
 }
@@ -98,7 +98,7 @@
     EntrySelection selection = selectionWith("agent", 55);
     const std::set<std::string> before = setOf(connectAll(selection, Start));
     const std::string lost = *before.begin();
-    selection.closed(lost, Start + 1s);
+    selection.onClosed(lost, Start + 1s);
     // The lost entry is dialled at once and does not answer; then the next in rank takes its place.
     EXPECT_EQ(connectAll(selection, Start + 1s, {lost}), std::vector{lost});
     const std::vector<std::string> next = connectAll(selection, Start + 1s, {lost});
@@ -116,13 +116,13 @@
 {
     EntrySelection selection = selectionWith("agent", 55);
     for (const std::string &it : connectAll(selection, Start))
-        selection.closed(it, Start + 1s);
+        selection.onClosed(it, Start + 1s);
     std::size_t waiting = 0;
     for (Duration at = 1s; at < 3s; at += 100ms) {
         const std::vector<std::string> dialled = selection.plan(Start + at).dial;
         EXPECT_LE(dialled.size(), ConnectionCount);
         for (const std::string &it : dialled)
-            selection.dialled(it, Start + at);
+            selection.onDialled(it, Start + at);
         waiting += dialled.size();
     }
     EXPECT_LE(waiting, 55U);
