--- a/src/placement.cpp
+++ b/src/placement.cpp
@@ -64,8 +64,8 @@
 
 // The choice is random in proportion to weight and free slots, so that homes with the same reports
 // do not all choose the same agent.
-std::optional<std::size_t> DigestPolicy::pickFree(std::span<const Candidate> candidates,
-                                                  Random &random)
+std::optional<std::size_t> LoadReportPolicy::pickFree(std::span<const Candidate> candidates,
+                                                      Random &random)
 {
     for (const bool near : {true, false}) {
         double total = 0;
@@ -87,8 +87,8 @@
     return std::nullopt;
 }
 
-std::optional<std::size_t> DigestPolicy::pickForReservation(std::span<const Candidate> candidates,
-                                                            Random &random)
+std::optional<std::size_t>
+LoadReportPolicy::pickForReservation(std::span<const Candidate> candidates, Random &random)
 {
     std::vector<std::size_t> open;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -300,7 +300,7 @@
     return slots;
 }
 
-template class BasicPlacement<DigestPolicy>;
+template class BasicPlacement<LoadReportPolicy>;
 template class BasicPlacement<RandomPolicy>;
 template class BasicPlacement<RoundRobinPolicy>;
 template class BasicPlacement<StaleTwoChoicesPolicy>;
--- a/src/placement.h
+++ b/src/placement.h
@@ -54,7 +54,7 @@
 // The policy that homes use. For a start it picks an agent with a free slot, in the home's own data
 // centre if possible, at random in proportion to weight and free slots. For a reservation it picks
 // the agent with the shorter expected wait of two random ones.
-struct DigestPolicy
+struct LoadReportPolicy
 {
     std::optional<std::size_t> pickFree(std::span<const Candidate> candidates, Random &random);
     std::optional<std::size_t> pickForReservation(std::span<const Candidate> candidates,
@@ -160,9 +160,9 @@
     std::map<Incarnation, Agent> m_agents;
 };
 
-using Placement = BasicPlacement<DigestPolicy>;
+using Placement = BasicPlacement<LoadReportPolicy>;
 
-extern template class BasicPlacement<DigestPolicy>;
+extern template class BasicPlacement<LoadReportPolicy>;
 extern template class BasicPlacement<RandomPolicy>;
 extern template class BasicPlacement<RoundRobinPolicy>;
 extern template class BasicPlacement<StaleTwoChoicesPolicy>;
--- a/tools/fleetmodel.h
+++ b/tools/fleetmodel.h
@@ -155,9 +155,10 @@
 }
 
 // Baseline policies bind a task at once to the agent that they choose, and it waits there. With
-// DigestPolicy, a task that finds no free slot leaves a reservation and is bound by a slot offer.
+// LoadReportPolicy, a task that finds no free slot leaves a reservation and is bound by a slot
+// offer.
 template <typename Policy>
-inline constexpr bool IsEarlyBinding = !std::is_same_v<Policy, DigestPolicy>;
+inline constexpr bool IsEarlyBinding = !std::is_same_v<Policy, LoadReportPolicy>;
 
 // Agents with one worker each. Each agent is the home of some jobs and executes tasks of all homes.
 template <PlacementPolicy Policy>
@@ -197,8 +198,8 @@
         BasicPlacement<Policy> placement;
         WorkerHealth health;
         RetryBudget budget;
-        std::vector<LoadReport> latestDigests; // newest digest of each agent
-        std::vector<double> latestDigestTimes; // time of that digest; negative: there is none
+        std::vector<LoadReport> latestReports; // newest load report of each agent
+        std::vector<double> latestReportTimes; // time of that report; negative: there is none
         // Tasks that wait for a slot offer, with the index of the worker, by token.
         std::map<std::size_t, std::pair<QueuedTask, std::size_t>> reservedTasks;
     };
@@ -243,67 +244,67 @@
     }
 
     // The load of an agent as it reports it now.
-    LoadReport digestOf(std::size_t i) const
+    LoadReport loadReportOf(std::size_t i) const
     {
         const Executor &it = m_executors[i];
-        LoadReport digest;
-        digest.agent = agentOf(i);
-        digest.upstream = Upstream;
-        digest.freeSlots = it.freeSlots;
-        digest.slots = m_options.slots;
-        digest.queued = static_cast<std::uint32_t>(it.reservations.size() + it.queue.size());
-        return digest;
+        LoadReport report;
+        report.agent = agentOf(i);
+        report.upstream = Upstream;
+        report.freeSlots = it.freeSlots;
+        report.slots = m_options.slots;
+        report.queued = static_cast<std::uint32_t>(it.reservations.size() + it.queue.size());
+        return report;
     }
 
-    // A home takes in a digest that the agent made at `observedAt`, unless it has a newer one.
-    void observeDigest(std::size_t home, const LoadReport &digest, double observedAt)
+    // A home takes in a load report that the agent made at `observedAt`, unless it has a newer one.
+    void observeReport(std::size_t home, const LoadReport &report, double observedAt)
     {
         Home &it = *m_homes[home];
-        const std::size_t k = digest.agent.value - 1;
-        if (observedAt < it.latestDigestTimes[k])
+        const std::size_t k = report.agent.value - 1;
+        if (observedAt < it.latestReportTimes[k])
             return;
-        it.latestDigestTimes[k] = observedAt;
-        it.latestDigests[k] = digest;
-        LoadReport aged = digest;
+        it.latestReportTimes[k] = observedAt;
+        it.latestReports[k] = report;
+        LoadReport aged = report;
         aged.age = toDuration(m_clock.now() - observedAt);
         it.placement.updateLoad(aged, toTimePoint(m_clock.now()));
     }
 
-    // Sends one message; on arrival the receiver takes in the digests of the envelope, then
+    // Sends one message; on arrival the receiver takes in the load reports of the envelope, then
     // `action` runs, and the receiver tries to start queued tasks.
     void send(std::size_t from, std::size_t to, std::function<void()> action)
     {
         ++m_result.messages;
         const double sentAt = m_clock.now();
-        std::vector<std::pair<LoadReport, double>> digests{{digestOf(from), sentAt}};
+        std::vector<std::pair<LoadReport, double>> reports{{loadReportOf(from), sentAt}};
         if (m_options.gossip) {
             const Home &sender = *m_homes[from];
             for (std::size_t k = 0; k < m_options.workers; ++k) {
-                if (k != from && sender.latestDigestTimes[k] >= 0)
-                    digests.emplace_back(sender.latestDigests[k], sender.latestDigestTimes[k]);
+                if (k != from && sender.latestReportTimes[k] >= 0)
+                    reports.emplace_back(sender.latestReports[k], sender.latestReportTimes[k]);
             }
         }
         m_clock.after(delay(from, to),
-                      [this, to, digests = std::move(digests), action = std::move(action)] {
-                          for (const auto &[digest, observedAt] : digests)
-                              observeDigest(to, digest, observedAt);
+                      [this, to, reports = std::move(reports), action = std::move(action)] {
+                          for (const auto &[report, observedAt] : reports)
+                              observeReport(to, report, observedAt);
                           action();
                           dispatch(to);
                       });
     }
 
-    // Stands for the entries: every second, sends each agent the digests of all agents as they were
-    // a second before.
+    // Stands for the entries: every second, sends each agent the load reports of all agents as they
+    // were a second before.
     void sendFeed()
     {
-        std::vector<LoadReport> digests;
+        std::vector<LoadReport> reports;
         for (std::size_t i = 0; i < m_options.workers; ++i)
-            digests.push_back(digestOf(i));
+            reports.push_back(loadReportOf(i));
         const double observedAt = m_clock.now();
-        m_clock.after(observedAt == 0 ? 0 : 1, [this, digests, observedAt] {
+        m_clock.after(observedAt == 0 ? 0 : 1, [this, reports, observedAt] {
             for (std::size_t home = 0; home < m_options.workers; ++home) {
-                for (const LoadReport &digest : digests)
-                    observeDigest(home, digest, observedAt);
+                for (const LoadReport &report : reports)
+                    observeReport(home, report, observedAt);
                 dispatch(home);
             }
         });
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -77,7 +77,7 @@
     printResponses("nodes", workload, NodeFleet(options, workload).run(), central);
     if (only == "nodes")
         return 0;
-    printResponses("digest", workload, Fleet<DigestPolicy>(options, workload).run(), central);
+    printResponses("digest", workload, Fleet<LoadReportPolicy>(options, workload).run(), central);
     if (only == "digest")
         return 0;
     printResponses("random", workload, Fleet<RandomPolicy>(options, workload).run(), central);
@@ -107,7 +107,7 @@
 // Runs the workload on the model that the options choose.
 RunResult runFleet(const Options &options, const Workload &workload)
 {
-    return options.fakes ? Fleet<DigestPolicy>(options, workload).run()
+    return options.fakes ? Fleet<LoadReportPolicy>(options, workload).run()
                          : NodeFleet(options, workload).run();
 }
 
--- a/tools/workload.h
+++ b/tools/workload.h
@@ -31,7 +31,7 @@
     double speedSpread = 0.3;    // worker speeds are within 1 -+ this
     double declaredError = 10;   // declared time / run time is within this factor
     bool fakes = false;          // floods and failures run on Fleet instead of NodeFleet
-    bool gossip = true;          // envelopes carry load digests of other agents too
+    bool gossip = true;          // envelopes carry load reports of other agents too
     bool bindOldest = true;      // an offered slot goes to the oldest task of its flow
     bool longestFirst = true;    // a job's tasks are queued by falling declared time
     bool health = true;          // agents get weights and are ejected by WorkerHealth
