--- a/src/dispatchentry.h
+++ b/src/dispatchentry.h
@@ -14,9 +14,10 @@
 // The errors behind 1 and 2 are printed to standard error.
 //
 // SIGTERM or SIGINT begins the shutdown; further ones are ignored. Jobs are still accepted for up
-// to 2.5 s and refused after that. The process ends when every open job is answered. It has no
-// timeout for that, but each job ends at its caller's timeout, and the platform kills the process
-// after the grace period. SIGHUP reads the seeds in the settings file again.
+// to 2.5 s (AcceptAfterShutdownSignal in dispatchentry.cpp) and refused after that. The process
+// ends when every open job is answered. It has no timeout for that, but each job ends at its
+// caller's timeout, and the platform kills the process after the grace period. SIGHUP reads the
+// seeds in the settings file again.
 //
 // runEntry() (entryprocess.h) runs the other kind of entry, which uses the log service.
 int runDispatchEntry(std::span<const std::string> arguments);
--- a/src/framedlink.h
+++ b/src/framedlink.h
@@ -37,8 +37,8 @@
         // One frame has arrived. Must be set.
         std::function<void(std::vector<PeerMessage> messages)> onMessages;
         // The connection could not be established, was closed by the peer, failed, received an
-        // invalid frame, or has more than 4 MiB that the peer does not read. Called once; no
-        // handler is called after it. Must be set.
+        // invalid frame, or has more than 4 MiB (MaxUnsentBytes in framedlink.cpp) that the peer
+        // does not read. Called once; no handler is called after it. Must be set.
         std::function<void(std::string_view reason)> onClosed;
     };
 
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -265,8 +265,9 @@
     const auto first = std::lower_bound(
         m_recent.begin(), m_recent.end(), *watch.acked,
         [](const LogRecord &record, LogOffset offset) { return record.offset < offset; });
-    // The record at the acknowledged offset is missing here if m_recent was trimmed, or if the log
-    // has a malformed record at that offset.
+    // The record at the acknowledged offset is missing here if m_recent was trimmed, or was cleared
+    // when the ledger was restored from a snapshot. A malformed record in the log leaves no gap: it
+    // is kept as a MalformedRecord at its offset.
     if (first == m_recent.end() || first->offset != *watch.acked) {
         message.snapshot = currentSnapshot();
         message.next = m_ledger.next();
--- a/src/messages.h
+++ b/src/messages.h
@@ -310,7 +310,8 @@
                    Raise, Witness, TransferShard, TransferAck, AdoptWitness, AdoptAck>;
 
 // The unit of transmission: all messages that one process sends to another in one turn of its event
-// loop, with the load reports that the sender knows.
+// loop, with the load reports that the sender knows, or, if there are more than MaxLoadsPerEnvelope
+// (peerlinks.cpp), that many of them in turn.
 struct Envelope
 {
     Incarnation from;
--- a/src/taskrunner.h
+++ b/src/taskrunner.h
@@ -34,8 +34,10 @@
 // Time on the clock of a worker process, in ms since its start.
 using WorkerClock = StrongId<struct WorkerClockTag, std::int64_t>;
 
-// Effects: calls to a worker. `workerId` names one process of the worker; any other process at the
-// address refuses the call. A call without a reply after `timeout` counts as unanswered.
+// Effects: calls to a worker. `workerId` is WorkerInfo::id, which a worker may keep when it
+// restarts. A process with another id at the address refuses the call (OtherProcess). A kept
+// id does not tell a restarted worker from the earlier process; PollReply::startedAtUnixMs and
+// heartbeats do. A call without a reply after `timeout` counts as unanswered.
 struct StartRun
 {
     WorkerCallId call;
@@ -81,7 +83,7 @@
     OldAttempt,   // refused: this or a later attempt was stopped or has ended there
     Unhealthy,    // refused: the worker is unhealthy; nothing was done
     Invalid,      // refused: malformed
-    OtherProcess, // refused: another process of the worker answers at the address
+    OtherProcess, // refused: the process at the address has another worker id
     NotSent,      // certainly not delivered
     NoAnswer,     // the start may have been carried out, or may still be
 };
@@ -214,7 +216,8 @@
     std::vector<WorkerLoad> loads(TimePoint now) const;
     std::uint64_t lastAssignmentNumberOf(Incarnation entry) const; // newest on this connection
     std::uint64_t loadVersion() const { return m_loadVersion; }    // increases when loads() changes
-    // More than 70% of the cores of some worker are in use.
+    // More than 70% (NearlyFullShare in taskrunnerqueries.cpp) of the cores of some worker are in
+    // use.
     bool isNearlyFull() const;
     // Tasks that are queued, being started, running or being stopped.
     std::size_t openTasks() const;
@@ -358,7 +361,7 @@
     Worker *findWorker(std::string_view id);
     WorkerCallId registerCall(PendingCall call);
     // Removes the call, moves it to `endedCall` and returns its worker. None if the worker is gone,
-    // or if another process answered, which shows that it is gone.
+    // or if a process with another id answered, which shows that it is gone.
     Worker *endCall(WorkerCallId call, bool isOtherProcess, PendingCall &endedCall, TimePoint now,
                     RunnerOutbox &out);
     // The same for the reply to a start or stop, which may carry the worker's clock.
--- a/src/upstreamregistry.h
+++ b/src/upstreamregistry.h
@@ -58,8 +58,8 @@
 
     std::optional<UpstreamAnnouncement> m_current;
     TimePoint m_leaseEnd = NeverTime;
-    // The newest 16 incarnations that left or were replaced. A late repeat of their announcement is
-    // ignored.
+    // The newest 16 (MaxPastIncarnations in upstreamregistry.cpp) incarnations that left or were
+    // replaced. A late repeat of their announcement is ignored.
     std::deque<std::string> m_pastIncarnations;
 };
 
