--- a/src/dispatchentry.cpp
+++ b/src/dispatchentry.cpp
@@ -96,8 +96,8 @@
     struct Link
     {
         std::unique_ptr<FramedLink> link;
-        std::string dialled;           // address; empty for an accepted connection
-        TimePoint lastMessageAt{};     // or when the connection was begun
+        std::string dialled;       // address; empty for an accepted connection
+        TimePoint lastMessageAt{}; // newest message; before the first, when the link was created
         std::optional<PeerHello> peer; // none until the peer's hello arrives
     };
 
@@ -232,8 +232,8 @@
                 }});
     }
 
-    // Applies a configuration. Ignores older versions than the one in force: the store may deliver
-    // records again.
+    // Applies a configuration. Ignores a version that is not newer than the one in force: the store
+    // may deliver records again.
     void onOperatorRecord(const platform::StoreRecord &record)
     {
         if (record.key != platform::ConfigKey)
--- a/src/dispatchmessages.h
+++ b/src/dispatchmessages.h
@@ -33,7 +33,7 @@
 };
 
 // Addresses at which entries accept connections, so that a process that knows one entry finds the
-// others. An entry sends all that it knows after the hello, and then each new one.
+// others. An entry sends all addresses that it knows right after its hello, and later each new one.
 struct KnownEntries
 {
     std::vector<std::string> addresses;
@@ -87,7 +87,7 @@
     bool isGone = false; // the worker has left, or takes no more tasks of this entry
 };
 
-// Resources that the tasks of one priority need that wait at a worker.
+// Resources needed by the tasks of one priority that wait at a worker.
 struct QueuedDemand
 {
     int priority = 0;
@@ -141,9 +141,9 @@
     StartRefusal reason = StartRefusal::Expired;
 };
 
-// Agent to entry, after its hello and whenever the list of orphan-free workers has changed: every
-// task of this entry that the agent knows. An assignment on an older connection that is missing
-// here was not received and never will be.
+// Agent to entry, once both have sent their hello and whenever the list of orphan-free workers has
+// changed: every task of this entry that the agent knows. An assignment on an older connection that
+// is missing here was not received and never will be.
 struct TaskInventory
 {
     std::vector<TaskStarted> started; // started and not ended
--- a/src/entryselection.cpp
+++ b/src/entryselection.cpp
@@ -13,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-// The delay between dials of an entry doubles with each failure, from the first to the second of
-// these.
+// The delay between dials of an entry doubles with each failure, from MinRedialDelay to
+// MaxRedialDelay.
 constexpr Duration MinRedialDelay = 50ms;
 constexpr Duration MaxRedialDelay = 1s;
 // A dialled connection that is not open after this time does not count, and the next entry is
--- a/src/entryselection.h
+++ b/src/entryselection.h
@@ -42,8 +42,8 @@
     void onOpened(std::string_view address);
     // The connection has ended, or could not be opened.
     void onClosed(std::string_view address, TimePoint now);
-    // Another process has a connection to the entry: if it is wanted it is dialled at once,
-    // whatever its redial delay.
+    // Another process has reported that the entry's process has started. If a connection to the
+    // entry is wanted, the next plan() dials it, whatever its redial delay.
     void reportedAlive(std::string_view address, TimePoint now);
 
     // What the process should do now, as lists of addresses.
@@ -69,7 +69,7 @@
         State state = State::Idle;
         TimePoint dialledAt{};              // newest dial
         TimePoint nextDialAt{};             // Idle: not dialled before this time
-        Duration redialDelay{};             // delay before the next dial after a failed one
+        Duration redialDelay{};             // delay to apply when the next dial fails
         TimePoint surplusSince = NeverTime; // Open: not needed since then; NeverTime: needed
     };
 
--- a/src/jobdispatcher.cpp
+++ b/src/jobdispatcher.cpp
@@ -17,8 +17,9 @@
 // A task that has not started this long after it was assigned is refused by its agent and assigned
 // again, maybe to another worker.
 constexpr Duration MaxWaitAtAgent = 150ms;
-// Half of the waits are longer than estimated, and a job that ends too late has used capacity for
-// nothing.
+// The expected wait of a new job is multiplied by this before it is compared with the time that the
+// job may wait: half of the waits are longer than expected, and a job that ends too late has used
+// capacity for nothing.
 constexpr double WaitSafetyFactor = 1.4;
 // Agents confirm within this time that withdrawn tasks do not run; without that the outcome is
 // unknown.
@@ -37,8 +38,8 @@
 constexpr Duration EndedJobRetention = 10s;
 constexpr Duration MinRetryAfter = 200ms;
 constexpr Duration NoWorkerRetryAfter = 1s;
-// The longest of several tasks takes longer than the mean one: by this part of it each time their
-// number doubles.
+// The longest of several tasks takes longer than the mean one. Each time the number of tasks
+// doubles, the job's expected run time grows by this fraction of the run time of one task.
 constexpr double MakespanPerDoubling = 0.06;
 
 } // namespace
@@ -405,8 +406,8 @@
     return true;
 }
 
-// A job that finds no capacity keeps the later ones of its upstream from taking what becomes free
-// for it.
+// A job that finds no capacity keeps later jobs of its upstream from taking the capacity that
+// becomes free for it.
 void JobDispatcher::placeWaitingTasks(TimePoint now, DispatcherOutbox &out)
 {
     std::set<std::string> fullUpstreams; // upstreams without capacity for their next job
--- a/src/jobdispatcher.h
+++ b/src/jobdispatcher.h
@@ -73,8 +73,8 @@
 struct DispatcherSettings
 {
     std::uint64_t seed = 0; // for the random choice of workers
-    // Every run of an agent's tasks has ended this long after the agent's last message. Counted
-    // from the end of the connection, which is later.
+    // Every run of an agent's tasks has ended this long after the agent's last message. The
+    // dispatcher counts from the end of the connection, which is later than that message.
     Duration lostAgentTimeout = std::chrono::milliseconds(1800);
 };
 
@@ -91,8 +91,9 @@
     // Replaces the configuration for new jobs. Open jobs keep the settings of their arrival.
     void configure(DispatchConfig config, DispatcherOutbox &out);
     // A new job from a caller that waits for `callerTimeout` from `now`. Its answer follows as
-    // AnswerJob, at once if the job is refused. If a job with the same id is open, the caller gets
-    // the answer of that job.
+    // AnswerJob, at once if the job is refused on arrival or has no tasks. If a job with the same
+    // id is open, the caller gets the answer of that job, or Unknown at once if that job is being
+    // closed.
     void submit(CallerId caller, BestEffortJob job, Duration callerTimeout, TimePoint now,
                 DispatcherOutbox &out);
     // The caller closed its connection before the answer. A job is given up when its last caller
@@ -106,8 +107,9 @@
     // Any message of a connected agent but the hello.
     void onAgentMessage(Incarnation agent, const PeerMessage &message, TimePoint now,
                         DispatcherOutbox &out);
-    // Ends jobs whose time has run out and assigns waiting tasks to workers. To be called after
-    // inputs, once for several of them, and at nextTimer().
+    // Ends jobs whose time has run out, requeues tasks whose attempt at a lost agent has ended by
+    // now, and assigns waiting tasks to workers. To be called after inputs, once for several of
+    // them, and at nextTimer().
     void processPending(TimePoint now, DispatcherOutbox &out);
     void beginShutdown(); // refuses new jobs from now on; open jobs continue
 
@@ -121,8 +123,8 @@
     // Open jobs of the queue of which no task has started.
     std::size_t waitingJobs(std::string_view queue) const;
     const WorkerDirectory &workers() const { return m_directory; }
-    // Time of the next job to end for lack of time, as of the newest processPending(); NeverTime
-    // without one.
+    // Time of the next timeout of a job or of an attempt at a lost agent, as of the newest
+    // processPending(); NeverTime if there is none.
     TimePoint nextTimer() const { return m_nextExpiry; }
 
 private:
@@ -148,7 +150,7 @@
         // AgentLost: the attempt has ended by then; NeverTime while an agent that is connected
         // again has not listed its tasks.
         TimePoint attemptEndsBy = NeverTime;
-        // Workers where it failed, was refused or ran too slowly.
+        // Workers where an attempt failed, was lost, stopped or refused, or ran too slowly.
         std::vector<WorkerKey> avoidedWorkers;
     };
 
@@ -177,7 +179,9 @@
         std::vector<Task> tasks;
         std::size_t waitingCount = 0; // tasks in state Waiting
         std::size_t doneCount = 0;    // tasks in state Done
-        TimePoint firstStartAt{};     // TimePoint{} if no start is known
+        // When the first start was reported; TimePoint{} if none was reported or if mayHaveStarted
+        // was set for another reason before.
+        TimePoint firstStartAt{};
     };
 
     // An answered job. If its id is submitted again, the new attempts must have higher numbers than
@@ -208,15 +212,17 @@
     bool placeTask(JobNumber number, Job &job, std::uint32_t index, TimePoint now,
                    DispatcherOutbox &out);
     WorkerDirectory::Request requestOf(const Job &job, const Task &task, TimePoint now) const;
-    // First step of each input.
+    // Handles the timeouts that passed while the process was suspended. Each input that carries the
+    // time calls it first.
     void expireAfterSuspension(TimePoint now, DispatcherOutbox &out);
     TimePoint earliestExpiry() const;
     void expireJobs(TimePoint now, DispatcherOutbox &out);
-    // Withdraws all tasks that may run. The job ends when all of them are confirmed, or at its
-    // closeDeadline.
+    // Withdraws all tasks at connected agents. The job ends when it is certain that none of its
+    // tasks runs or will run, or at its closeDeadline.
     void beginClosing(JobNumber number, Job &job, DispatchAnswer answer, TimePoint now,
                       DispatcherOutbox &out);
-    // Answers all callers and removes the job.
+    // Answers all callers, withdraws the tasks that are still assigned or running, and removes the
+    // job.
     void finish(JobNumber number, DispatchAnswer answer, TimePoint now, DispatcherOutbox &out);
     // Asks the agent to cancel the newest attempt of the task.
     void withdraw(const Job &job, std::uint32_t index, DispatcherOutbox &out) const;
@@ -266,7 +272,8 @@
     RunTimeModel m_runTimes;
     std::map<JobNumber, Job> m_jobs;
     std::map<std::string, JobNumber, std::less<>> m_jobsById;
-    // Jobs answered in the last 10 s, by id; agents may still send messages about them.
+    // Answered jobs that had an attempt, by id. Kept for at least 10 s (EndedJobRetention), as
+    // agents may still send messages about them.
     std::map<std::string, EndedJob, std::less<>> m_endedJobs;
     std::map<CallerId, JobNumber> m_jobsByCaller;
     // Jobs with waiting tasks, without those that are closing.
--- a/src/jobdispatcheragents.cpp
+++ b/src/jobdispatcheragents.cpp
@@ -13,8 +13,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration RefusalPause = 20ms;    // without new tasks for a worker that refused one
-constexpr Duration UnhealthyPause = 250ms; // the same for one that refuses all starts
+// A worker that refused a task gets no new tasks for this long.
+constexpr Duration RefusalPause = 20ms;
+// The same for a worker that refuses all starts: it is unhealthy, gone or draining.
+constexpr Duration UnhealthyPause = 250ms;
 // A task that was slow on this many workers is a long task, so moving it again does not help.
 constexpr int MaxMoves = 2;
 // Time to stop a run and to start the task on another worker.
--- a/src/runtimemodel.cpp
+++ b/src/runtimemodel.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Weight of the newest task in a mean.
+// Smallest weight of the newest task in a mean; the first tasks weigh more.
 constexpr double MinSampleWeight = 0.02;
 // Longer run times count as this multiple of the mean.
 constexpr double MaxRatioToMean = 3;
@@ -39,8 +39,8 @@
 }
 
 // The queue's mean, scaled by the square root of the ratio of the declaration to the mean
-// declaration. Reason: if declarations are off by as much as run times vary, they explain half of
-// the variation.
+// declaration. The square root is used because declarations that are off by as much as run times
+// vary explain half of the variation.
 Duration RunTimeModel::expect(std::string_view queue, Duration declaredRunTime) const
 {
     const auto it = m_queues.find(queue);
--- a/src/storefollower.cpp
+++ b/src/storefollower.cpp
@@ -15,7 +15,9 @@
 // same time, and the jitter keeps them from retrying at the same time.
 constexpr Duration MinRetryDelay = 60ms;
 constexpr Duration RetryJitter = 120ms;
-constexpr int MaxJitterDoublings = 2; // the jitter doubles with each failure in a row, this often
+// The jitter doubles with each failed read in a row, at most this many times. For appends it stays
+// the same.
+constexpr int MaxJitterDoublings = 2;
 
 } // namespace
 
@@ -68,8 +70,8 @@
                          m_firstPageEnd = valueOf(page).next;
                      onPage(valueOf(page));
                      m_continueAfterKey = valueOf(page).continueAfterKey;
-                     // The pages are no snapshot. Records that were appended while the pages were
-                     // read come after the end that the first page reported.
+                     // The pages are not a snapshot. Records that were appended while the pages
+                     // were read come after the end that the first page reported.
                      if (m_continueAfterKey.empty())
                          m_nextOffset = m_firstPageEnd;
                      startRead();
--- a/src/taskrunner.cpp
+++ b/src/taskrunner.cpp
@@ -14,8 +14,8 @@
 using namespace std::chrono_literals;
 
 constexpr Duration StartMargin = 20ms; // for a start that is on its way to the worker
-// A worker that leaves polls without a reply for this long is unresponsive: its lease is not
-// renewed.
+// A worker that leaves polls without a reply for this long is unresponsive: the lease of its runs
+// is not renewed.
 constexpr Duration PollTimeout = 200ms;
 // Ends are listed in inventories for this long, for entries that connect again.
 constexpr Duration EndedTaskRetention = 4s;
@@ -23,8 +23,8 @@
 // Entries are sent the load of a worker with poor performance at this interval, as its figures
 // recover with time.
 constexpr Duration PoorPerformanceInterval = 200ms;
-// Then the run is stopped: after a stop the worker refuses every start of the attempt, also one
-// that arrives late.
+// After this many starts without an answer the run is stopped: after a stop the worker refuses
+// every start of the attempt, also one that arrives late.
 constexpr int MaxStartCalls = 4;
 
 } // namespace
@@ -196,8 +196,8 @@
                               RunnerOutbox &out)
 {
     expireAfterSuspension(now, out);
-    // The entry runs as a new process, so its previous process is gone, and the callers of that one
-    // too.
+    // The entry runs as a new process, so its previous process and the callers of that process are
+    // gone. The previous process counts as silent at once, which stops its tasks.
     for (auto &[id, other] : m_entries)
         if (other.name == name && id != entry)
             other.heardAt = std::min(other.heardAt, now - m_settings.entryTimeout - Duration(1));
--- a/src/taskrunner.h
+++ b/src/taskrunner.h
@@ -85,7 +85,7 @@
     Invalid,      // refused: malformed
     OtherProcess, // refused: the process at the address has another worker id
     NotSent,      // certainly not delivered
-    NoAnswer,     // the start may have been carried out, or may still be
+    NoAnswer,     // the start may have been carried out, or may be carried out later
 };
 
 // The reply to StartRun.
@@ -258,8 +258,8 @@
         TimePoint retryAt{}; // when to send its stop again
     };
 
-    // A call that has neither a reply nor timed out. Later calls do not wait for it, and its reply
-    // still counts.
+    // A call that has neither received a reply nor timed out. Later calls do not wait for it, and
+    // its reply still counts.
     struct PendingCall
     {
         std::string workerId;
@@ -271,11 +271,12 @@
     struct Worker
     {
         WorkerInfo info;
-        bool isSynced = false;          // a list of its runs was received from this process
-        WorkerClock clock;              // the worker's clock in its newest reply
-        TimePoint clockAt{};            // when that reply was received
-        TimePoint heardAt{};            // newest heartbeat or reply
-        TimePoint leaseEnd{};           // latest possible end of any lease that was asked for
+        bool isSynced = false; // a list of its runs was received from this process
+        WorkerClock clock;     // the worker's clock in its newest reply
+        TimePoint clockAt{};   // when that reply was received
+        TimePoint heardAt{};   // newest heartbeat or reply
+        // Latest possible end of any lease or start window that the worker was sent.
+        TimePoint leaseEnd{};
         std::uint64_t acknowledged = 0; // number of the last end received
         WorkerCallId newestPoll;        // newest poll; 0 once it has a reply or has timed out
         TimePoint nextPollAt{};      // the next poll is sent then, also if the newest is still open
@@ -283,7 +284,8 @@
         TimePoint unansweredSince{}; // when the first of them was noticed
         TimePoint lastPollReplyAt{}; // newest reply to a poll
         bool isUnresponsive = false; // no reply to polls for too long
-        TimePoint unhealthyUntil{};  // no starts before: it refused one
+        // No starts are sent before this time, as one was refused or could not be delivered.
+        TimePoint unhealthyUntil{};
         std::map<TaskId, Task> tasks; // not ended
         std::vector<Orphan> orphans;
         WorkerPerformance performance;
@@ -305,7 +307,8 @@
         TimePoint endedAt;
     };
 
-    // First step of each input from outside.
+    // Handles the timeouts that passed while the process was suspended. Each input that carries the
+    // time calls it first, except onWorkerLeft().
     void expireAfterSuspension(TimePoint now, RunnerOutbox &out);
     // Stops, refuses or repeats the calls of tasks whose time has come.
     void expireTasks(Worker &worker, TimePoint now, RunnerOutbox &out);
@@ -319,7 +322,7 @@
     void sendStop(Worker &worker, Task &task, TimePoint now, RunnerOutbox &out);
     StopRun makeStop(const Worker &worker, const TaskId &task, std::uint32_t attempt,
                      TimePoint now);
-    // For a start that was not accepted, while no other call has shown that the task runs.
+    // Handles a start that was not accepted, as long as no other call has shown that the task runs.
     void onStartFailed(Worker &worker, Task &task, StartAnswer answer, TimePoint now,
                        RunnerOutbox &out);
     // Counts a poll without a reply; too many make the worker unresponsive.
@@ -331,17 +334,19 @@
     // Removes a task that was not started and never will be, and sends its entry the reason.
     void refuseTask(Worker &worker, std::map<TaskId, Task>::iterator it, StartRefusal reason,
                     RunnerOutbox &out);
-    // Refuses an assignment that was not queued, or not any more.
+    // Reports the refusal of an assignment whose task was not queued or has been removed.
     void refuse(Incarnation entry, const AssignTask &assignment, StartRefusal reason,
                 std::string_view workerId, RunnerOutbox &out);
-    // All runs at the worker have ended: their lease has expired, or the worker is gone.
+    // Ends all tasks that are not queued as lost. To be called when all runs at the worker have
+    // ended, because their lease has expired or the worker process is gone.
     void endAllRunsAsLost(Worker &worker, std::string_view reason, TimePoint now,
                           RunnerOutbox &out);
     // Handles a worker's first heartbeat, or a restart under the same id: runs are lost, queued
     // tasks stay queued.
     void beginWorkerProcess(Worker &worker, const WorkerInfo &info, TimePoint now,
                             RunnerOutbox &out);
-    // The start was carried out: a start was accepted, or the run was listed.
+    // To be called when it is known that the start was carried out: it was accepted, or the run was
+    // listed.
     void markRunning(Worker &worker, Task &task, TimePoint now, RunnerOutbox &out);
     // `askedAt` is when the poll was sent: the lists in the reply may be older than anything that
     // happened since.
@@ -360,8 +365,9 @@
     WorkerClock workerClockAt(const Worker &worker, TimePoint at) const;
     Worker *findWorker(std::string_view id);
     WorkerCallId registerCall(PendingCall call);
-    // Removes the call, moves it to `endedCall` and returns its worker. None if the worker is gone,
-    // or if a process with another id answered, which shows that it is gone.
+    // Removes the call, moves it to `endedCall` and returns its worker. Returns nullptr if the call
+    // is unknown or the worker is gone. If a process with another id answered, the worker is gone:
+    // removes it and returns nullptr.
     Worker *endCall(WorkerCallId call, bool isOtherProcess, PendingCall &endedCall, TimePoint now,
                     RunnerOutbox &out);
     // The same for the reply to a start or stop, which may carry the worker's clock.
--- a/src/taskrunnercalls.cpp
+++ b/src/taskrunnercalls.cpp
@@ -17,21 +17,23 @@
 // still be answered.
 constexpr Duration MinRetryDelay = 12ms;
 constexpr Duration MaxRetryDelay = 48ms;
-constexpr Duration CallTimeout = 300ms; // then a call counts as unanswered
+// A call without a reply for this long counts as unanswered.
+constexpr Duration CallTimeout = 300ms;
 // The next poll is sent this long after the longest time that the worker may hold back its reply.
 constexpr Duration PollMargin = 16ms;
-// After unanswered polls PollMargin is multiplied by one more than their number or this limit.
+// After unanswered polls PollMargin is multiplied by 1 plus their number, at most by 1 plus this.
 constexpr int MaxPollBackOff = 5;
-// If the reply with an end is lost, the end is seen this much later.
+// How long a worker may hold back its reply to a poll while it has tasks, and while it has none. If
+// the reply with an end is lost, the end is seen later by the first of these.
 constexpr Duration BusyPollWait = 30ms;
 constexpr Duration IdlePollWait = 400ms;
 constexpr Duration NotSentRetryDelay = 20ms; // after a call that could not be delivered
 constexpr Duration UnhealthyPause = 200ms;   // without starts after a worker refused one
-// Added to the end of a lease or a start window, for calls that are under way and for the worker's
-// clock, which may be 2% slow.
+// Added to the end of a lease or a start window, for calls that are under way. For a start window
+// it also covers the worker's clock, which may be 2% slow; for a lease sendPoll() adds the 2%.
 constexpr Duration LeaseMargin = 60ms;
 constexpr Duration MinProgressTime = 15ms; // the progress of a shorter run is too inexact
-// Ends in one reply; a longer list continues in the next reply.
+// Largest number of ends in one reply; a longer list continues in the next reply.
 constexpr std::size_t MaxListedEnds = 500;
 
 // Doubles with each call, up to MaxRetryDelay.
--- a/src/workerdirectory.cpp
+++ b/src/workerdirectory.cpp
@@ -13,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-// Agents send at least a heartbeat each 100 ms. A task sent to an agent that has been silent for
-// longer than this may get no further.
+// An agent sends a heartbeat every 100 ms, unless it sent another message in the 40 ms before. A
+// task that is sent to an agent which has been silent for longer than this may get no further.
 constexpr Duration AgentTimeout = 350ms;
 // A worker whose failure rate exceeds the fleet's mean by more than this gets no tasks.
 constexpr double MaxFailureRateExcess = 0.2;
@@ -50,8 +50,8 @@
     it.heardAt = now;
 }
 
-// An agent reports its workers again on each connection. Those of an agent that never comes back
-// must not count in the fleet's means.
+// An agent reports its workers again on each connection. The workers of an agent that never comes
+// back must not count in the fleet's means.
 void WorkerDirectory::agentDisconnected(Incarnation agent)
 {
     m_agents.erase(agent);
--- a/src/workerdirectory.h
+++ b/src/workerdirectory.h
@@ -63,8 +63,10 @@
     {
         std::string_view upstream;
         Resources needs;
-        int priority = 0;                          // 0 comes first
-        std::span<const WorkerKey> avoidedWorkers; // workers on which the task failed before
+        int priority = 0; // 0 comes first
+        // Chosen only if no other worker is suitable: earlier attempts of the task did not succeed
+        // there or were too slow.
+        std::span<const WorkerKey> avoidedWorkers;
         std::string_view requiredLabel;
         std::string_view preferredLabel;
         // Slowness as in WorkerLoad. Slower workers are left out, as the task would miss its
@@ -78,8 +80,7 @@
     // The task fits on some worker of the upstream, busy or not. True while no worker of the
     // upstream is known.
     bool fitsSomeWorker(const Request &request) const;
-    // Capacity of all usable workers of an upstream, without those that are slow or fail their
-    // tasks.
+    // Capacity of the usable workers of an upstream that are not slow and do not fail their tasks.
     struct UsableCapacity
     {
         Resources total;
@@ -114,8 +115,8 @@
 
     // The worker takes tasks and its agent is in contact with this entry.
     bool isUsable(const WorkerKey &key, const Worker &worker, TimePoint now) const;
-    // Free capacity for a task of this priority, less the needs of waiting tasks that are at least
-    // as urgent; may be negative.
+    // Free capacity for a task of this priority, less the needs of waiting and unreported tasks
+    // that are at least as urgent; may be negative.
     static Resources freeResources(const Worker &worker, int priority);
     // Time until the task would start there; infinite if it is not known when the
     // missing resources will be released.
--- a/src/workerperformance.cpp
+++ b/src/workerperformance.cpp
@@ -16,8 +16,8 @@
 // Progress is evaluated once the runs have taken this long in sum.
 constexpr double MinTotalElapsedMs = 40;
 constexpr double MeanRoundingError = 0.5; // in percent, as percentages are rounded down
-// Slowness of jobs that shows a slow worker: the median of many jobs must reach the first value,
-// the least of a few jobs the second.
+// Slowness of jobs that shows a slow worker: with at least MinJobsForMedian jobs their median must
+// reach SlowThreshold, with fewer jobs the smallest value must reach StuckThreshold.
 constexpr double SlowThreshold = 3;
 constexpr double StuckThreshold = 6;
 constexpr std::size_t MinJobsForMedian = 4;
--- a/src/workerperformance.h
+++ b/src/workerperformance.h
@@ -58,7 +58,8 @@
 private:
     // Exponentially weighted mean over ends, raised by the progress of slow runs.
     double m_slowness = 1;
-    // By the progress of what runs; 0: too little to tell, or not slow.
+    // Slowness by the progress of the running tasks; 0 if they have not run for long enough to tell
+    // or do not show a slow worker.
     double m_runningSlowness = 0;
     double m_failureRate = 0;    // exponentially weighted mean over ends
     TimePoint m_decayedAt{};     // time up to which the means are decayed
