--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -29,7 +29,7 @@
 constexpr double ServiceRateDecaySeconds = 3;
 
 constexpr double MinRetryAfterSeconds = 1;
-constexpr double MaxRetryAfterSeconds = 120; // most callers give up before a longer time
+constexpr double MaxRetryAfterSeconds = 120; // most callers give up if they must wait longer
 
 // Retry times are spread over at least this time, so that even a few refused callers do not return
 // at the same moment.
@@ -344,7 +344,7 @@
     return std::max(1e-3, it->second.maxRunningTasks * m_homeShare);
 }
 
-// The running-task quota and the start rate quota of the team allow another start now.
+// Whether the running-task quota and the start rate quota of the team allow another start now.
 bool Admission::isWithinQuota(std::string_view team, TimePoint now)
 {
     const auto it = m_config.teams.find(std::string(team));
--- a/src/admission.h
+++ b/src/admission.h
@@ -70,8 +70,9 @@
     // has used the least of its share, then the oldest task. Skips teams that are at their quota.
     // No value if no task may start now.
     std::optional<QueuedTask> pop(std::string_view upstream, TimePoint now);
-    // Returns a task that was popped but could not be placed. It keeps its place in the queue, and
-    // its class and team get back what pop() charged.
+    // Returns a task that was popped but could not be placed, or whose attempts have all ended
+    // without a result. It keeps its place in the queue, and its class and team get back what pop()
+    // charged.
     void pushFront(QueuedTask task);
     // Removes a queued task. An unknown token is ignored.
     void remove(std::uint64_t token);
@@ -86,7 +87,7 @@
     std::size_t queuedTasks(std::string_view upstream) const;
     // Mean of the measured run times; 0.5 s before the first one. Declared times are not used.
     Duration expectedRunTime(std::string_view upstream) const;
-    // The earliest time at which the quota of a team with queued tasks allows another start.
+    // The earliest time at which the quota of a team with queued tasks may allow another start.
     // NeverTime if no task waits for time to pass.
     TimePoint nextTimer() const;
 
--- a/src/agentnode.cpp
+++ b/src/agentnode.cpp
@@ -23,8 +23,8 @@
 void AgentNode::Impl::start(TimePoint now, Outbox &out)
 {
     m_startedAt = now;
-    // This is true once the node is active: its ledger contains its registration then, and every
-    // record before it, and the registration is appended after `now`.
+    // Holds once the node is active: the ledger then contains the registration of the node and
+    // every record before it, and the registration is appended after `now`.
     m_logContact = now;
     appendRegistration(out);
 }
--- a/src/entrynode.cpp
+++ b/src/entrynode.cpp
@@ -40,7 +40,7 @@
                 TimePoint now, Outbox &out);
     void onTimer(TimePoint now, Outbox &out);
     void beginShutdown();
-    void advanceShutdown(TimePoint now, Outbox &out); // after every event
+    void advanceShutdown(TimePoint now, Outbox &out); // after envelopes, log reads and timers
 
     TimePoint nextTimer() const;
     bool isActive() const { return m_ledger.member(m_self) != nullptr; }
--- a/src/entrynode.h
+++ b/src/entrynode.h
@@ -37,8 +37,9 @@
     // The log no longer holds the next record that the ledger needs. The snapshot replaces the
     // ledger; onLogRecords() with the records after snapshot.asOf follows.
     void onLogSnapshot(const SnapshotRecord &snapshot, TimePoint now, Outbox &out);
-    // A read of the log begins; the read that began last has returned the end of the log.
+    // A read of the log begins.
     void onLogReadStarted();
+    // The read that began last has returned all records up to the end of the log.
     void onLogEndRead();
     // No member is suspected to have failed while the log is unreachable.
     void onLogReachable(bool reachable, TimePoint now);
@@ -62,7 +63,7 @@
     bool acceptsJobs() const; // active, and not shutting down
     bool isShutdownComplete() const;
     const Ledger &ledger() const;
-    std::size_t rememberedKeyCount() const;             // number of forwarded job keys
+    std::size_t rememberedKeyCount() const;             // of forwarded and adopted jobs
     std::vector<LoadReport> loads(TimePoint now) const; // newest known load of every agent
 
 private:
--- a/src/jobhome.cpp
+++ b/src/jobhome.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-// A home that has just started may not have heard of every agent yet. An upstream that has had no
-// live agent for this time since a job was accepted is treated as gone.
+// A home that has just started may not have heard of every agent yet. So a running job is given up
+// for the lack of a live agent of its upstream only when this time has passed since the job was
+// accepted.
 constexpr Duration UpstreamGrace = 2s;
 
 // Attempt numbers of one epoch lie above those of the epoch before, because an executor looks
@@ -118,7 +119,7 @@
     m_lastSeen = std::max(m_lastSeen, now);
 }
 
-// An upper bound of the time since the caller submitted the job of this message.
+// Returns an upper bound of the time since the caller submitted the job of this message.
 Duration JobHome::maxAgeOf(const SubmitJob &message, TimePoint now) const
 {
     const Duration atEntry = std::max(message.spec.deadline - message.remaining, Duration::zero());
@@ -158,7 +159,7 @@
     Job *job = find(message.key);
     if (job == nullptr)
         return answerUnknownKey(from, message.key, message.sentAt, out);
-    if (job->state != JobState::Running) // of a waiting job the witnesses may know a result
+    if (job->state != JobState::Running) // the witnesses may know the result of a waiting job
         return reply(from, *job, message.sentAt, now, out);
     addEntry(*job, from);
     giveUp(*job, "cancelled", std::nullopt, now, out);
@@ -227,8 +228,8 @@
     return job;
 }
 
-// Admits or answers a job that waits for the witnesses. Leaves it waiting while the witness round
-// may still bring what is needed for that.
+// Admits or answers a job that waits for the witnesses. Leaves it waiting while the reports that
+// the decision needs may still arrive in the witness round.
 void JobHome::decide(Job &job, TimePoint now, Outbox &out)
 {
     const ShardId shard = shardOf(job.spec.key);
@@ -291,8 +292,8 @@
     return std::nullopt;
 }
 
-// Sends the answer, or JobAccepted while there is none. A retry time counts from when the job was
-// answered, so that it ends at the same time for every entry that asks.
+// Sends the answer, or JobAccepted while there is none. A retry time counts from the time of the
+// answer, so that it ends at the same time for every entry that asks.
 void JobHome::reply(Incarnation to, Job &job, Duration askedAt, TimePoint now, Outbox &out)
 {
     if (job.state == JobState::Answered) {
@@ -313,7 +314,8 @@
         job.entries.push_back(entry);
 }
 
-// Answers the job: sends `answer` to every entry that asked and keeps it for later ones.
+// Answers the job: sends `answer` to every entry that asked and keeps it for entries that ask
+// later.
 void JobHome::finish(Job &job, Answer answer, TimePoint now, Outbox &out)
 {
     releaseTasks(job, out);
@@ -377,8 +379,8 @@
     }
 }
 
-// A job of which no task may have started is answered as soon as it is clear that it will not start
-// in time, so that the caller can use the rest of its time otherwise. True if the job is no longer
+// Gives up a job of which no task can have started as soon as it is clear that it will not start in
+// time, so that the caller has time left to do something else. Returns true if the job is no longer
 // running.
 bool JobHome::giveUpIfStalled(Job &job, TimePoint now, Outbox &out)
 {
@@ -413,8 +415,8 @@
     m_timers.insert({at, job.serial});
 }
 
-// `base` to 2 * `base`, by hash of the key, so that callers refused together do not come back
-// together.
+// Returns a time from `base` to 2 * `base`, chosen by the hash of the key, so that callers that
+// were refused together do not return together.
 Duration JobHome::withJitter(const JobKey &key, Duration base)
 {
     const auto part = static_cast<std::int64_t>(hashOf(key).high % 1000);
--- a/src/jobhome.h
+++ b/src/jobhome.h
@@ -36,8 +36,10 @@
     WorkerHealth &health;
 };
 
-// Owned by the agent node, which passes it every event in turn and carries out what it adds to
-// `out`. A job ends with one Answer and is remembered for id_memory after that.
+// The agent node owns this object, passes it every event in turn and carries out the effects that
+// it adds to `out`. A job ends with one Answer and is remembered for id_memory after that. Only
+// after the answer witness_missing it is forgotten at once, because its key may still prove to be
+// new.
 class JobHome : public ShardJobs
 {
 public:
@@ -115,12 +117,13 @@
     struct Task
     {
         TaskState state = TaskState::Queued;
-        std::uint64_t token = 0;           // its id in Admission; 0 if it is not queued there
-        std::int64_t queueSequence = 0;    // its position by age, kept from its last removal there
-        bool isCountedAsStarted = false;   // Admission counts it as started and not ended
-        bool isHedged = false;             // a second copy has been started
-        bool mayHaveStarted = false;       // there is no proof that no attempt has started
-        std::uint16_t retries = 0;         // after attempts that started and failed
+        std::uint64_t token = 0;         // its id in Admission; 0 if it is not queued there
+        std::int64_t queueSequence = 0;  // its position by age, kept from its last removal there
+        bool isCountedAsStarted = false; // Admission counts it as started and not ended
+        bool isHedged = false;           // a second copy has been sent
+        // An attempt has started, or has ended without proof that it had not.
+        bool mayHaveStarted = false;
+        std::uint16_t retries = 0;         // after failed attempts that started or may have
         std::uint16_t noStartCount = 0;    // times that it lost all attempts without a start
         std::uint32_t lastAttempt = 0;     // number of the newest attempt
         TimePoint notBefore{};             // end of a pause before it is queued again
@@ -132,7 +135,7 @@
     enum class JobState {
         Waiting,  // for the witnesses of its shard
         Running,  // admitted
-        GivingUp, // will not complete; waits for the proof that no task has started
+        GivingUp, // given up; waits for the proof that no task has started
         Answered
     };
 
@@ -142,7 +145,7 @@
         std::uint64_t serial = 0; // orders jobs in the same way in every run
         Epoch epoch;              // of the shard when the job was accepted
         JobState state = JobState::Waiting;
-        // Attempts of a later submission under the same key are numbered from above this.
+        // A later submission under the same key numbers its attempts above this.
         std::uint32_t highestAttempt = 0;
         std::vector<Incarnation> entries; // get the answer; empty once it is sent
         TimePoint acceptedAt;
@@ -188,7 +191,7 @@
     {
         WitnessedJob job;
         Epoch epoch;
-        TimePoint since; // end of the epoch, as seen here
+        TimePoint since; // when this home saw the end of the epoch
     };
 
     // The part of a LoadReport that Admission depends on.
@@ -243,7 +246,8 @@
     void onAgentLost(Incarnation agent, TimePoint now, Outbox &out);
     TaskHandle locate(const TaskRef &ref);
     static Attempt *findAttempt(Task &task, Incarnation agent, std::uint32_t number);
-    static Attempt *unreservedAttempt(Task &task); // has started or may yet start; null if none
+    // The live attempt that has started or may yet start, not a Reserved one; null if none.
+    static Attempt *unreservedAttempt(Task &task);
     void enqueue(TaskHandle handle, TimePoint now, QueueEnd end);
     bool placeTask(TaskHandle handle, TimePoint now, Outbox &out);
     std::size_t reservationLimit(const std::string &upstream) const;
@@ -296,9 +300,9 @@
     TimePoint m_pauseEffectEnd{};
     TimePoint m_nextHousekeeping{};
     TimePoint m_nextPlacement = NeverTime; // when a quota lets the next queued task start
-    // Highest epoch of each shard that another home has named in a Raise or an executor in a
-    // refusal. This home must not accept a job at a lower epoch, because it has already told the
-    // new home everything that it knows.
+    // Highest epoch of each shard named in a Raise of another home or in the refusal of an
+    // executor. This home must not accept a job at a lower epoch, because the new home takes its
+    // answer to the Raise for everything that this home knows.
     std::array<Epoch, ShardCount> m_raisedEpochs{};
 };
 
--- a/src/jobhomememory.cpp
+++ b/src/jobhomememory.cpp
@@ -91,8 +91,8 @@
     return result;
 }
 
-// Answers a query or cancellation of a key that this home has not accepted. It carries no job that
-// could be run, so the answer comes from the witnesses alone.
+// Answers a query or cancellation of a key that this home has not accepted. Such a request carries
+// no job that could be run, so the answer comes from the witnesses alone.
 void JobHome::answerUnknownKey(Incarnation from, const JobKey &key, Duration askedAt,
                                Outbox &out) const
 {
@@ -124,8 +124,8 @@
            && job.answer.retryAfter && now >= job.answeredAt + *job.answer.retryAfter;
 }
 
-// The Completed answer if the witnesses report every task as completed, for the content of `spec`
-// unless that is null; otherwise empty.
+// Returns the Completed answer if the witnesses report every task as completed and, unless `spec`
+// is null, report the content of `spec`. Returns no value otherwise.
 std::optional<Answer> JobHome::provenAnswer(const WitnessedJob &seen, const JobSpec *spec)
 {
     if (seen.taskCount == 0 || seen.tasks.size() != seen.taskCount || seen.contentHash == 0
@@ -150,8 +150,8 @@
     m_jobs.erase(JobKey{job.spec.key});
 }
 
-// Removes the jobs whose shard has another epoch or home now. The next home learns of them from the
-// witnesses; this home is one of them and keeps for it, in m_formerJobs, what it knows.
+// Removes the jobs whose shard has another epoch or home now. The next home learns of these jobs
+// from the witnesses. This home is one of the witnesses, so it keeps what it knows in m_formerJobs.
 void JobHome::dropJobsOfOldEpochs(std::span<const ShardId> shards, TimePoint now)
 {
     std::bitset<ShardCount> changed;
--- a/src/jobhomeplacement.cpp
+++ b/src/jobhomeplacement.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t MaxReservationsPerTask = 2;
 
 // Reservations for one upstream are limited to this many for each slot of the home's share. More of
-// them would only move its queue to the executors, where it no longer decides on the order of its
-// classes and teams.
+// them would only move its queue to the executors, where this home no longer decides on the order
+// of the classes and teams.
 constexpr double ReservationsPerSlot = 2;
 constexpr std::size_t MinReservationLimit = 8;
 
@@ -74,7 +74,7 @@
     }
 }
 
-// Follows the agents that are up in the ledger.
+// Adds the agents that have come up in the ledger and removes those that are no longer up.
 void JobHome::syncAgents(TimePoint now, Outbox &out)
 {
     const std::vector<Incarnation> up = m_deps.ledger.upMembers(Role::Agent);
@@ -169,7 +169,7 @@
 }
 
 // Sends the task to an agent that is believed to have a free slot, else to one that may keep a
-// reservation for it. False if there is no agent to send it to now.
+// reservation for it. Returns false if there is no such agent or the task must not be sent now.
 bool JobHome::placeTask(TaskHandle handle, TimePoint now, Outbox &out)
 {
     Job &job = *handle.job;
@@ -335,7 +335,8 @@
 }
 
 // Starts a second copy of a task of an idempotent job on another agent if the first has run for
-// longer than the p95 of its upstream.
+// longer than both the p95 of its upstream and MinHedgeDelay, and the hedge limit of the upstream
+// allows it.
 void JobHome::hedge(TaskHandle handle, TimePoint now, Outbox &out)
 {
     Job &job = *handle.job;
--- a/src/jobhometasks.cpp
+++ b/src/jobhometasks.cpp
@@ -174,8 +174,8 @@
 }
 
 // Late binding: of the agents that hold a reservation for the task, the first that offers a slot
-// gets it. It gets it under a new attempt number, so that no copy of an earlier request can start
-// the task anywhere.
+// gets the task. The start has a new attempt number, so that no copy of an earlier request can
+// start the task anywhere.
 void JobHome::onOffer(Incarnation from, const SlotOffer &message, TimePoint now, Outbox &out)
 {
     const TaskHandle handle = locate(message.ref);
@@ -229,8 +229,9 @@
         return;
     ++attempt->undelivered;
     if (attempt->undelivered < attempt->copies && attempt->state == AttemptState::Sent) {
-        // Only an undelivered message proves that its copy started nothing (rule R6). An earlier
-        // copy may have arrived, and the executor that could tell is gone.
+        // An attempt counts as not started only if no copy of its StartTask can have started it
+        // (rule R6). Here an earlier copy may have arrived, and the executor that could tell is
+        // gone.
         removeAttempt(handle, to, start->attempt);
         return taskFailed(handle, to, "executor_lost", now, out);
     }
@@ -314,8 +315,9 @@
     finish(job, std::move(answer), now, out);
 }
 
-// The task has started on this agent, or may have, and no result will come from there. A task of an
-// idempotent job is retried if the budget allows it; otherwise the job is given up.
+// The task has started on this agent, or may have, and no result is expected from there. A task of
+// an idempotent job is retried up to MaxRetries times while the retry budget allows it; otherwise
+// the job is given up.
 void JobHome::taskFailed(TaskHandle handle, Incarnation agent, const std::string &reason,
                          TimePoint now, Outbox &out)
 {
@@ -341,8 +343,8 @@
     giveUp(job, reason, std::nullopt, now, out);
 }
 
-// Ends every live attempt of the task, so that none starts later. An attempt that runs is stopped
-// only with `stopRunning`.
+// Ends every live attempt of the task, so that none starts later. An attempt in state Running is
+// stopped only with `stopRunning`.
 void JobHome::endAttempts(TaskHandle handle, bool stopRunning, Outbox &out)
 {
     const Job &job = *handle.job;
@@ -375,8 +377,9 @@
     }
 }
 
-// Ends the job without a complete result. Its answer is not_run only with the proof that no task
-// has started; it waits for that proof for up to NoStartProofTimeout and is unknown otherwise.
+// Gives the job up. Its answer is not_run only with the proof that no task has started; the job
+// waits for that proof for up to NoStartProofTimeout, and without it the answer is unknown. A
+// result that arrives during the wait still completes a job of one task.
 void JobHome::giveUp(Job &job, const std::string &reason, std::optional<Duration> retryAfter,
                      TimePoint now, Outbox &out)
 {
--- a/src/jobrouter.cpp
+++ b/src/jobrouter.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-// A pending job costs one small message in each interval.
+// A pending job costs one message in each interval, a small one once its home has accepted it.
 constexpr Duration RepeatInterval = std::chrono::seconds(1);
 
-// From a refusal to the next forward, doubled with each refusal in a row. The claim or transfer
-// behind a refusal shows in the ledger within milliseconds.
+// Pause from a refusal to the next forward; it doubles with each refusal in a row. The claim or
+// transfer behind a refusal shows in the ledger within milliseconds.
 constexpr Duration FirstRefusalPause = std::chrono::milliseconds(50);
 constexpr std::uint32_t MaxRefusalShift = 5; // 50 ms << 5 is beyond RepeatInterval
 
@@ -71,7 +71,8 @@
 {
     const JobKey key = spec.key;
     if (m_memory.size() >= MaxRememberedKeys) {
-        // The answer is not not_run, because another entry may have forwarded the same key.
+        // The outcome is Unknown and not NotRun, because another entry may have forwarded the same
+        // key.
         out.add(AnswerCaller{caller, key, unknownAnswer("entry_overloaded", hashOf(key), 0)});
         return;
     }
@@ -218,8 +219,9 @@
     dropOrArmTimer(message.key);
 }
 
-// A completed answer is true whichever home gives it. The others are taken only from the home that
-// has the job now: an earlier home may say not_run of a job that a later home runs.
+// A completed answer is true whichever home gives it. Any other answer is taken only from the home
+// that has the job now, because an earlier home may answer not_run for a job that a later home
+// runs.
 void JobRouter::onAnswer(Incarnation from, const JobAnswer &message, TimePoint now, Outbox &out)
 {
     const auto it = m_jobs.find(message.key);
@@ -281,7 +283,7 @@
         return;
     if (job->spec) {
         // A query overtook the job, or the home has forgotten the job after the retry time of an
-        // answer that was lost on the way here. The job is forwarded again.
+        // answer that was lost on the way here. The job is forwarded again at nextSend.
         job->isAccepted = false;
         return;
     }
@@ -338,8 +340,8 @@
     forwardToNewHomes(changes.shards, changes.members, now, out);
 }
 
-// Forwards every job of the shards whose home or epoch has changed at once and restarts its
-// HomeTimeout.
+// Immediately forwards the jobs of `shards` whose home or epoch has changed, and the jobs that were
+// not forwarded yet and have a home now. Restarts the HomeTimeout of these jobs.
 void JobRouter::forwardToNewHomes(std::span<const ShardId> shards, bool membersChanged,
                                   TimePoint now, Outbox &out)
 {
@@ -353,8 +355,8 @@
     for (const auto &[key, job] : m_jobs) {
         const ShardId shard = shardOf(job.hash);
         const Incarnation home = homeOf(shard);
-        // Jobs that were not forwarded yet wait for their home to come up again, or for this
-        // process to be registered.
+        // Jobs that were not forwarded yet have been waiting for their home to come up again, or
+        // for this process to be registered.
         const bool hasNewHome = job.home != home || job.epoch != fence(shard);
         if (home.value != 0 && hasNewHome && (isMoved[shard.value] || job.home.value == 0))
             moved.emplace_back(job.serial, &key);
@@ -368,9 +370,9 @@
     }
 }
 
-// When the callers of a job are answered without its home. A job that a home has accepted is kept
-// as long as the home replies, also beyond the deadline, because tasks that started in time may
-// still run.
+// The time at which the callers of a job are answered without a reply of its home. A job that a
+// home has accepted is kept as long as the home replies, also beyond the deadline, because tasks
+// that started in time may still run.
 TimePoint JobRouter::giveUpAt(const PendingJob &job)
 {
     return job.wasAccepted ? job.homeTimeoutAt : std::min(job.homeTimeoutAt, job.deadline);
--- a/src/jobrouter.h
+++ b/src/jobrouter.h
@@ -1,5 +1,5 @@
-// The entry side of a job: forwards it to the home of its shard, repeats that until the job is
-// answered, and gives the answer to every caller that waits for the key.
+// The entry side of a job: forwards the job to the home of its shard, repeats the request until the
+// job is answered, and gives the answer to every caller that waits for the key.
 //
 // An entry remembers the key of every job before it forwards it, and reports it to later homes of
 // the shard, so that none of them takes the job as new (rule R3). It forwards nothing at an epoch
@@ -25,8 +25,8 @@
 
 namespace cactuscove {
 
-// Owned by the entry node, which passes it every event. Each call of submit(), query() or cancel()
-// leads to one AnswerCaller effect, unless callerDisconnected() comes first.
+// The entry node owns this object and passes it every event. Each call of submit(), query() or
+// cancel() leads to one AnswerCaller effect, unless callerDisconnected() comes first.
 class JobRouter
 {
 public:
@@ -41,7 +41,7 @@
     void query(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now, Outbox &out);
     void cancel(CallerId caller, const JobKey &key, TimePoint waitUntil, TimePoint now,
                 Outbox &out);
-    void callerDisconnected(CallerId caller); // the caller has hung up; its job goes on
+    void callerDisconnected(CallerId caller); // the caller's connection is closed; its job goes on
     // Handles the replies of homes, Raise and AdoptWitness; ignores other messages.
     void onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out);
     // A message of this router was provably not delivered. At most one call for each message sent.
@@ -51,7 +51,7 @@
 
     // Queries
     TimePoint nextTimer() const;                   // when onTimer() is due
-    bool isIdle() const { return m_jobs.empty(); } // no caller waits, every job was accepted
+    bool isIdle() const { return m_jobs.empty(); } // no caller waits, nor a job to be accepted
     std::size_t rememberedKeyCount() const { return m_memory.size(); }
     std::size_t memoryBytes() const { return m_memory.bytes(); } // of the remembered keys
     // The remembered keys of a shard, for the heir of an entry that leaves.
@@ -91,9 +91,9 @@
         // The key was not remembered before the first message counted in `forwards`, so that it can
         // be forgotten if all of those prove to be undelivered.
         bool ownsRememberedKey = false;
-        std::vector<Forwards> forwards; // by rising epoch
+        std::vector<Forwards> forwards; // in ascending order of epochs
         TimePoint startedAt;
-        TimePoint deadline;      // of the job; never without a spec
+        TimePoint deadline;      // of the job; NeverTime until there is a spec
         TimePoint homeTimeoutAt; // callers are answered then unless the home replies
         TimePoint nextSend;
         TimePoint timerAt = NeverTime; // its place in m_timers
--- a/src/jobrouterwitness.cpp
+++ b/src/jobrouterwitness.cpp
@@ -1,5 +1,5 @@
-// The entry as a witness: the keys that it has forwarded, the highest epoch of each shard, and the
-// keys of entries that it is the heir of.
+// The entry as a witness: the keys that it has forwarded, the highest epoch of each shard, below
+// which it forwards nothing (rule R2), and the keys of entries that it is the heir of.
 
 #include "jobrouter.h"
 
@@ -31,8 +31,9 @@
     return std::max(m_ledger.shard(shard).epoch, m_raised[shard.value].epoch);
 }
 
-// To be called before the job is forwarded at job.epoch (rule R3). The job may run until its
-// deadline, and its key is remembered for keyRetention() after that.
+// An entry remembers the key of a job before it forwards the job (rule R3), so this is called
+// before each forward at job.epoch. The job may run until its deadline, and its key is remembered
+// for keyRetention() after that.
 void JobRouter::remember(PendingJob &job, TimePoint now)
 {
     if (m_memory.remember(job.hash, job.epoch, job.deadline + keyRetention(), now)) {
@@ -82,7 +83,8 @@
     forwardToNewHomes(shards, false, now, out);
 }
 
-// Directly, or by a chain of heirs that have left themselves.
+// Whether this entry is `subject` or its heir, directly or through a chain of heirs that have left
+// themselves.
 bool JobRouter::isHeirOf(Incarnation subject) const
 {
     // Each step moves to another member, so more steps than members mean a cycle of heirs.
--- a/src/ledger.cpp
+++ b/src/ledger.cpp
@@ -1,5 +1,5 @@
-// Applies log records. What a record does depends only on the records before it, so a record that
-// breaks a rule has no effect for any reader.
+// Applies log records to the state that every process agrees on. What a record does depends only on
+// the records before it, so a record that breaks a rule has no effect for any reader.
 
 #include "ledger.h"
 
@@ -16,7 +16,8 @@
 
 // Append ids kept. A late copy of an append arrives within seconds. At several hundred appends a
 // second, the log's limit, this many ids cover about ten seconds. A copy of a claim, configuration,
-// leave or retirement that arrives later still does no harm, because their own rules refuse it.
+// leave or retirement that arrives later still does no harm, because the rules of these records
+// refuse it.
 constexpr std::size_t AppendIdLimit = 4096;
 
 const FleetConfig DefaultFleetConfig;
@@ -168,7 +169,7 @@
         state.suspectedBy.erase(voter);
 }
 
-// Marks as down each member that at least half of the other entries that are up suspect. Repeats
+// Marks a member as down if at least half of the other entries that are up suspect it. Repeats
 // until nothing changes, because an entry that goes down loses its votes and makes the number of
 // voters smaller.
 void Ledger::declareDown()
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -25,13 +25,15 @@
 // others proves nothing.
 constexpr Duration PauseThreshold = 1s;
 
-// Beyond the time for which a member that is gone must be kept as a witness (rule R8).
+// Rule R8: a member that is gone is kept as a witness for as long as a job that it knows of can
+// matter. This margin is added to that time.
 constexpr Duration RetireMargin = 60s;
-// The other entries retire a member that the lowest entry has not retired after this time.
+// If the entry with the lowest incarnation has not retired a member this long after it was due, the
+// other entries do.
 constexpr Duration RetireTakeover = 60s;
 
-// A snapshot is due after this many records, and this many times in the time that the log keeps a
-// record.
+// A snapshot is due after RecordsPerSnapshot records, and SnapshotsPerRetention times within the
+// time that the log keeps a record.
 constexpr std::uint64_t RecordsPerSnapshot = 2000;
 constexpr int SnapshotsPerRetention = 4;
 
@@ -128,8 +130,8 @@
     refreshWatches(now);
 }
 
-// Follows the members in the ledger: which agents this entry feeds, which members it watches, and
-// which are gone.
+// Updates the watches from the members in the ledger: which agents this entry feeds, which members
+// it watches, and which are gone.
 void Membership::refreshWatches(TimePoint now)
 {
     for (const auto &[incarnation, state] : m_ledger.members()) {
@@ -183,7 +185,8 @@
     Watch &watch = it->second;
     watch.isFeedInFlight = false;
     watch.stamp = std::max(watch.stamp, ack->stamp);
-    // An agent that made no progress cannot apply what it gets; its next feed is a heartbeat.
+    // An agent that made no progress cannot apply what it gets; its next feed is sent with the next
+    // heartbeat.
     const bool isProgress = !watch.acked || ack->next > *watch.acked;
     watch.acked = std::max(watch.acked.value_or(LogOffset{}), ack->next);
     if (watch.isFed && isProgress && *watch.acked < m_ledger.next())
@@ -210,7 +213,7 @@
     m_isLogReachable = isReachable;
 }
 
-// Counts the silence of every member that has not answered from now on.
+// Restarts the silence time of every member that has not answered, so that it counts from `now`.
 void Membership::restartSilenceTimers(TimePoint now)
 {
     for (auto &[incarnation, watch] : m_watches)
@@ -311,7 +314,7 @@
 }
 
 // Whether this entry has to act now on a duty that is due at `due`. The entry with the lowest
-// incarnation acts at once, the others `takeoverDelay` later if it has not.
+// incarnation acts at once, the other entries `takeoverDelay` later if the duty is still due.
 bool Membership::isDutyDue(TimePoint due, TimePoint now, Duration takeoverDelay) const
 {
     const std::vector<Incarnation> entries = m_ledger.upMembers(Role::Entry);
--- a/src/membership.h
+++ b/src/membership.h
@@ -1,6 +1,6 @@
-// The share of one entry in keeping the membership of the fleet: it feeds log records to agents,
-// votes failed processes down, retires members that nobody needs any more, and appends snapshots of
-// the ledger to the log.
+// What one entry does for the membership of the fleet: it feeds log records to agents, votes for
+// failed processes to be declared down, retires members that are no longer needed as witnesses, and
+// appends snapshots of the ledger to the log.
 
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace cactuscove {
 
-// Owned by the entry node. Each agent is fed by exactly one of the entries that are up.
+// The entry node owns this object. Each agent is fed by exactly one of the entries that are up.
 class Membership
 {
 public:
@@ -30,7 +30,7 @@
                    Outbox &out);
     // The ledger has been restored from a snapshot.
     void onRestored(TimePoint now);
-    // An envelope has arrived. Any one shows that its sender is alive.
+    // An envelope has arrived. Every envelope shows that its sender is alive.
     void onPeerActivity(Incarnation from, TimePoint now);
     // Handles Probe and FeedAck; ignores other messages.
     void onMessage(Incarnation from, const Message &message, TimePoint now, Outbox &out);
--- a/src/messages.h
+++ b/src/messages.h
@@ -48,7 +48,8 @@
     std::uint64_t stamp = 0; // time of sending on the agent's clock, in microseconds
 };
 
-// Entry -> member that it does not feed: asks for a sign of life. Every message counts as one.
+// Entry -> member that it does not feed: asks whether the member is alive. Every message from it
+// counts as an answer.
 struct Probe
 {};
 
@@ -85,7 +86,7 @@
 enum class SubmitRefusal {
     NotHome,         // another process is the home, or the epoch differs
     Transferring,    // the shard is being transferred; the entry tries again shortly
-    ContentMismatch, // the id belongs to another job with different content
+    ContentMismatch, // the key belongs to a job with different content
 };
 
 // Agent -> entry: the request was refused and has had no effect.
@@ -162,8 +163,8 @@
     Draining,       // the executor is shutting down
     CannotRun,      // the task needs more than the upstream has
     DeadlinePassed, // `remaining` was not positive
-    // This attempt or a later one has already ended without a start, or the slot that was offered
-    // to it is taken.
+    // This attempt has already ended without a start, a later attempt has arrived before it, or the
+    // slot that was offered to it is taken.
     Tombstone
 };
 
@@ -184,15 +185,15 @@
     TaskResult result;
 };
 
-// Home -> executor.
+// Home -> executor: the result has arrived and need not be repeated.
 struct TaskDoneAck
 {
     TaskRef ref;
     std::uint32_t attempt = 0;
 };
 
-// Home -> executor: stops the task if it is running; otherwise leaves a tombstone, so that a late
-// StartTask of this or an earlier attempt is refused.
+// Home -> executor: stops the task if it is running. If the task has not started, the executor
+// leaves a tombstone, so that a late StartTask of this or an earlier attempt is refused.
 struct CancelTask
 {
     TaskRef ref;
@@ -253,7 +254,7 @@
 struct Witness
 {
     Incarnation subject;
-    std::vector<ShardClaim> claims; // of the Raise that this answers
+    std::vector<ShardClaim> claims; // those of the Raise that this message answers
     std::vector<WitnessedJob> jobs;
 };
 
@@ -271,9 +272,10 @@
 {
     ShardClaim claim; // the epoch that the receiver will have
     std::vector<TransferredJob> jobs;
-    std::vector<WitnessedJob> witnessed; // seen at earlier epochs and never answered by this home
+    std::vector<WitnessedJob> witnessed; // reported by witnesses of earlier epochs
 };
 
+// Next home -> home: the jobs of the shard have arrived.
 struct TransferAck
 {
     ShardClaim claim;
@@ -283,8 +285,9 @@
 struct AdoptedJob
 {
     WitnessedJob job;
-    Epoch epoch;    // lowest epoch at which the subject saw the job
-    Duration age{}; // since the last change of the job
+    Epoch epoch; // lowest epoch at which the subject saw the job
+    // Since the last change of the job; from an entry since its deadline, so negative before that.
+    Duration age{};
 };
 
 // Leaving process -> heir: one part of the jobs that `subject` has seen. `subject` is the sender,
@@ -296,7 +299,7 @@
     std::uint32_t part = 0; // never reused, so that a late AdoptAck cannot match another part
 };
 
-// Heir -> leaving process.
+// Heir -> leaving process: the part is stored.
 struct AdoptAck
 {
     Incarnation subject;
--- a/src/outbox.h
+++ b/src/outbox.h
@@ -21,8 +21,8 @@
     Message message;
 };
 
-// Appends a record to the log. Whoever carries this out repeats an append of unclear result with
-// the same append id until the log has the record.
+// Appends a record to the log. The process that carries this out repeats an append whose result is
+// unclear with the same append id until the log has the record.
 struct Append
 {
     Record record;
@@ -88,7 +88,7 @@
 class Outbox
 {
 public:
-    // `effect` is of a type of Effect.
+    // `effect` is of one of the alternative types of Effect.
     template <typename E>
     void add(E effect)
     {
--- a/src/placement.cpp
+++ b/src/placement.cpp
@@ -10,9 +10,9 @@
 
 using std::chrono::milliseconds;
 
-// Longest time from sending a task until the agent counts it in its report: one round trip (under
-// 2 ms between data centres) and the batching of one turn of the event loop. A report may
-// not count a task that was sent less than this time before the report was made.
+// Longest time from sending a task until a report of the agent counts it: one round trip (under
+// 2 ms between data centres) and the batching of one turn of the event loop. A report may not count
+// a task that was sent less than this time before the report was made.
 constexpr Duration ReportDelay = milliseconds(3);
 
 // Limit for the reservations of one flow that one home holds at one agent. An agent offers slots to
--- a/src/placement.h
+++ b/src/placement.h
@@ -93,8 +93,8 @@
 class BasicPlacement
 {
 public:
-    // `dataCentre` is that of the home, whose agents are preferred. `seed` is that of the random
-    // choices.
+    // `dataCentre` is the data centre of the home; agents in it are preferred. `seed` determines
+    // the random choices.
     explicit BasicPlacement(std::string dataCentre, std::uint64_t seed);
 
     // Commands
--- a/src/reservationqueue.cpp
+++ b/src/reservationqueue.cpp
@@ -26,7 +26,8 @@
 {
     remove(reservation.ref);
     if (m_index.empty()) {
-        // Slot time that was used while no reservation waited was not taken from anyone.
+        // Slot time that was used while no reservation waited was not taken from anyone, so it is
+        // not counted.
         m_classes.clear();
         m_virtualTime = 0;
     }
--- a/src/reservationqueue.h
+++ b/src/reservationqueue.h
@@ -57,7 +57,7 @@
     struct Team
     {
         double weightedUse = 0; // seconds of slot time divided by the weight of the team
-        std::map<std::uint64_t, Reservation> fifo; // by number of arrival
+        std::map<std::uint64_t, Reservation> fifo; // by arrival number
     };
     struct Class
     {
--- a/src/shardownership.cpp
+++ b/src/shardownership.cpp
@@ -27,7 +27,8 @@
 constexpr Duration PlanInterval = 1s;
 constexpr std::size_t TransfersPerInterval = 64;
 // A shard takes no new jobs while it drains, so a transfer for rebalancing is given up if the jobs
-// in progress take longer than this. A home that leaves waits for them.
+// in progress take longer than this. A home that leaves the fleet waits for these jobs without a
+// limit.
 constexpr Duration DrainLimit = 3s;
 constexpr Duration DrainPollInterval = 50ms;
 constexpr Duration TransferRepeatInterval = 500ms;
@@ -56,7 +57,8 @@
     return best;
 }
 
-// Adds what another witness reports of the same job. A completed result replaces any other.
+// Adds what another witness reports of the same job. A later report of a task replaces an earlier
+// one, unless the earlier one has a completed result.
 void merge(WitnessedJob &into, const WitnessedJob &from)
 {
     if (into.contentHash == 0)
@@ -251,7 +253,7 @@
         return;
     // The sender may have undone an earlier transfer, accepted jobs and started another one, and
     // the messages may arrive in any order. So their jobs are merged; an answer of not_run is
-    // replaced by any other answer to the same job.
+    // replaced by any answer to the same job that arrives later.
     for (const TransferredJob &job : message.jobs) {
         TransferredJob aged = job;
         aged.age -= std::chrono::duration_cast<Duration>(now - incoming.arrivedAt);
@@ -295,8 +297,9 @@
         m_pendingClaims.erase(it);
 }
 
-// This agent is the new home. There is nothing to ask about a shard that had no home before, nor
-// about one whose jobs the previous home has sent; otherwise the witness round begins.
+// Records that this agent is the new home of the shard. There is nothing to ask about a shard that
+// had no home before, nor about one whose jobs the previous home has sent; otherwise the witness
+// round begins.
 void ShardOwnership::acquire(ShardId shard, TimePoint now)
 {
     const ShardState &state = m_ledger.shard(shard);
@@ -336,7 +339,7 @@
 void ShardOwnership::updateKnowledge(ShardId shard, OwnedShard &owned, TimePoint now)
 {
     if (owned.nextRaise == NeverTime)
-        return; // there was nothing to ask, or every answer has arrived
+        return; // there was nothing to ask, or no answer is needed any more
     bool entriesAnswered = true;
     bool agentsAnswered = true;
     bool reachableAnswered = true;
@@ -361,7 +364,8 @@
     }
 }
 
-// Claims the shards without a home that is up for which this agent has the highest weight.
+// Claims each shard that has no home, or whose home is not up, if this agent has the highest weight
+// for it.
 void ShardOwnership::claimShards(TimePoint now, Outbox &out)
 {
     if (m_isLeaving || m_registeredAt == NeverTime || now < m_registeredAt + ClaimDelay
@@ -452,8 +456,8 @@
     const std::size_t excess = m_isLeaving ? kept : kept - std::min(kept, fairShare);
     const std::size_t limit = m_isLeaving ? ShardCount : fairShare;
     std::size_t planned = 0;
-    // Shards without jobs in progress come first, because they need not drain and so refuse hardly
-    // any job on the way.
+    // Shards without jobs in progress come first, because they need not drain and so refuse new
+    // jobs only for the short time of the transfer.
     for (const bool wantIdle : {true, false}) {
         for (auto &[shard, owned] : m_owned) {
             if (planned >= excess || (!m_isLeaving && planned >= TransfersPerInterval))
--- a/src/shardownership.h
+++ b/src/shardownership.h
@@ -28,7 +28,7 @@
     NotHome,      // another process, or none, is the home
     Asking,       // the witness round is still running
     Complete,     // a job that is not known here is new
-    Incomplete,   // the round has ended without all answers; whether an unknown job is new is open
+    Incomplete,   // the round ended without all answers, so an unknown job may be old
     Transferring, // being transferred to another agent; takes no new jobs
 };
 
@@ -50,7 +50,7 @@
     TimePoint arrivedAt;
 };
 
-// Owned by the agent node, which passes it every event before JobHome sees it.
+// The agent node owns this object and passes it every event before JobHome sees it.
 class ShardOwnership
 {
 public:
@@ -80,14 +80,15 @@
     bool isRoundOver(ShardId shard) const;
     // What witnesses have reported of a job of an earlier home; null if none has reported the key.
     const WitnessedJob *reportedJob(const KeyHash &key) const;
-    // No shard can be transferred any more. Shards may be left that are not known completely.
+    // No shard can be transferred any more: those that are left are not known completely, or no
+    // other agent is up.
     bool hasNothingToTransfer() const;
 
 private:
     enum class TransferStage {
         Draining,     // the shard takes no new jobs and waits for the end of those in progress
         Sending,      // the jobs are sent, repeatedly, until the receiver acknowledges them
-        Acknowledged, // waits for the claim that is appended for several shards at once
+        Acknowledged, // waits, so that one append can claim several shards
         Claiming      // the claim for the receiver is appended
     };
 
@@ -104,7 +105,7 @@
         Epoch epoch;
         ShardKnowledge knowledge = ShardKnowledge::Asking; // never NotHome or Transferring
         TimePoint roundEnd = NeverTime;                    // time limit of the witness round
-        TimePoint nextRaise = NeverTime;                   // never if no answer is missing
+        TimePoint nextRaise = NeverTime; // NeverTime if no answer is needed any more
         bool isRoundOver = false;
         std::set<Incarnation> answered; // subjects whose Witness has arrived
         std::optional<Transfer> transfer;
--- a/src/startmemory.cpp
+++ b/src/startmemory.cpp
@@ -143,7 +143,8 @@
         if (const TaskRun *run = bestRun(record, below))
             seen.tasks.push_back({index, record.id, run->result});
     }
-    // A job of which no task has started here is not reported.
+    // A job of which no task has started here is not reported, because its key is new to this
+    // executor.
     if (seen.tasks.empty())
         return {};
     return seen;
--- a/src/taskexecutor.cpp
+++ b/src/taskexecutor.cpp
@@ -234,7 +234,7 @@
     return true;
 }
 
-// Why the task cannot start here; no value if it can, or if it can wait for a slot.
+// Returns why the task cannot start here; no value if it can, or if it can wait for a slot.
 std::optional<TaskRefusal> TaskExecutor::startRefusal(const StartTask &msg) const
 {
     const auto &upstream = m_upstreams.current();
