--- a/tests/system/compatibility.py
+++ b/tests/system/compatibility.py
@@ -1,11 +1,15 @@
-"""Runs two builds of the program side by side, for both promises.
+"""Checks that two builds of the program work together. Run by hand; CI does not run it.
 
-    compatibility.py OLD NEW        directories that hold a `cactuscove` each
+    compatibility.py OLD NEW        directories that contain a `cactuscove` binary each
 
-The stand-ins come from CACTUSCOVE_BIN. Checked are, with entries of one build and agents of the
-other, both ways round: jobs complete, and no process drops a message, a link or a record. Then a
-rolling replacement of every process of OLD by one of NEW under load, in which no answer is lost, and
-a fleet of NEW on the log that a fleet of OLD has written: records, snapshot, configuration.
+The stand-ins are taken from CACTUSCOVE_BIN. Three cases, for stored jobs (StoredJobs) and for
+best-effort jobs (BestEffortJobs):
+
+- Entries of one build with agents of the other, both ways round: all jobs complete, and no process
+  loses a connection or refuses a message or record.
+- Rolling replacement of all processes of OLD by processes of NEW under load: no answer is lost.
+- Data of OLD that NEW reads: records, snapshot and configuration in the log; for best-effort jobs
+  the settings files and the records in the store, as part of the rolling replacement.
 """
 import json
 import os
@@ -19,14 +23,17 @@
 from dispatchfleet import (Caller, DispatchFleet, in_threads, overlapping_runs, untrue_answers)
 from fleet import Fleet, FleetTest, http, job, submit, wait_until
 
-OLD = NEW = ""
+OLD = NEW = ""  # absolute paths of the two directories
+MAX_SUBMISSIONS = 40  # of one job
+RESUBMIT_PAUSE_S = 0.1
+RECORDS = "/streams/cactuscove/records?from=0&limit=1000"
+# Log events that show a record or a connection that one build could not read or keep.
 LOST_RECORDS = ("log_record_skipped", "snapshot_refused")
 LOST_LINKS = ("agent_lost", "entry_lost", "job_invalid", "heartbeat_refused", "config_unreadable")
-RECORDS = "/streams/cactuscove/records?from=0&limit=1000"
 
 
 class MixedFleet(Fleet):
-    """A fleet in which each role has a build of its own."""
+    """A fleet that starts entries and agents from the directories in `builds`."""
 
     def __init__(self, entry, agent, **options):
         self.builds = {"entry": entry, "agent": agent}
@@ -39,6 +46,8 @@
 
 
 class MixedDispatchFleet(DispatchFleet):
+    """The same for the dispatch roles; `builds` may change between starts."""
+
     def __init__(self, entry, agent, **options):
         self.builds = {"entry": entry, "agent": agent}
         super().__init__(**options)
@@ -49,7 +58,11 @@
 
 
 class Load:
-    """Callers that submit one job after the other, elsewhere again while it is not completed."""
+    """Callers that submit one job after the other.
+
+    A job that is not completed is submitted again at the next entry. A job ends as failed after an
+    unknown outcome or MAX_SUBMISSIONS submissions.
+    """
 
     def __init__(self, fleet, callers=6):
         self.fleet = fleet
@@ -62,7 +75,7 @@
         turn = seed
         while not self.stop.is_set():
             body = job(tasks=3, run_ms=40)
-            for _ in range(40):
+            for _ in range(MAX_SUBMISSIONS):
                 entries = self.fleet.live(self.fleet.entries)
                 turn += 1
                 reply = submit(entries[turn % len(entries)], body)
@@ -72,7 +85,7 @@
                 if reply and reply.body.get("outcome") == "unknown":
                     self.failed.append((body, reply))
                     break
-                time.sleep(0.1)
+                time.sleep(RESUBMIT_PAUSE_S)
             else:
                 self.failed.append((body, reply))
 
@@ -86,7 +99,7 @@
             it.join(60)
 
 
-class StoredPromise(FleetTest):
+class StoredJobs(FleetTest):
     def make_fleet(self):
         return MixedFleet(OLD, OLD, options=["--log-retention-s=60"])
 
@@ -113,12 +126,14 @@
                 self.assert_completed(body, submit(entry, body))
         self.assert_started_at_most_once()
 
+    # Guards against messages that only processes of the same build understand.
     def test_entries_of_one_build_agents_of_the_other(self):
         for entry, agent in ((OLD, NEW), (NEW, OLD)):
             self.use(entry, agent)
             self.check_jobs()
             self.check_logs()
 
+    # Guards against jobs that fail because their home or entry is replaced by another build.
     def test_rolling_replacement(self):
         load = Load(self.fleet)
         load.wait_more()
@@ -146,7 +161,8 @@
         wait_until(f"end of {process.name}", lambda: process.child.poll() is not None, limit=60)
         self.assertEqual(process.child.returncode, 0)
 
-    # Only records from the newest snapshot on are left in the log when the new build reads it.
+    # Guards against records or a snapshot of the old build that the new one reads differently. Only
+    # the last 3 records are left in the log, so that a new process has to start from the snapshot.
     def test_a_log_that_the_old_build_wrote(self):
         self.check_jobs(5)
         old = self.fleet.entries + self.fleet.agents
@@ -171,7 +187,7 @@
         self.check_logs()
 
 
-class BestEffort(unittest.TestCase):
+class BestEffortJobs(unittest.TestCase):
     fleet = None
 
     def use(self, entry, agent):
@@ -187,6 +203,7 @@
         self.assertEqual(untrue_answers(self.fleet.history, self.jobs), [])
         self.assertEqual([it.overbooked for it in self.fleet.workers if it.overbooked], [])
 
+    # Guards against messages that only processes of the same build understand.
     def test_entries_of_one_build_agents_of_the_other(self):
         for entry, agent in ((OLD, NEW), (NEW, OLD)):
             self.use(entry, agent)
@@ -202,7 +219,8 @@
                 for event in LOST_LINKS:
                     self.assertNotIn(f"event={event}", self.fleet.log_of(it), it.name)
 
-    # Settings files and the records of entries in the store are those of the old build.
+    # Guards against answers that are lost while processes are replaced. The settings files and the
+    # records of entries in the store are those that the old build has used.
     def test_rolling_replacement(self):
         self.use(OLD, OLD)
         stop = threading.Event()
